--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -7,21 +7,21 @@
 	"carawaycart"
 )
 
-// Decoder gives an item its meaning; an error means that it has none.
+// Decoder decodes an item into a record; it returns an error for an invalid item.
 type Decoder func(carawaycart.StoreItem) (carawaycart.Record, error)
 
-// entry is an item with its meaning.
+// entry is an item with its decoded record, which is empty for an invalid item.
 type entry struct {
 	item   carawaycart.StoreItem
 	record carawaycart.Record
 }
 
-// Directory is a copy of the store's items; it is not safe for concurrent use.
+// Directory is a replica of the store's items; it is not safe for concurrent use.
 type Directory struct {
-	decode  Decoder
-	items   map[string]entry
-	at      carawaycart.StoreRevision
-	refused int
+	decode         Decoder
+	items          map[string]entry
+	revision       carawaycart.StoreRevision
+	decodeFailures int
 }
 
 // New returns an empty directory that decodes items with decode.
@@ -29,93 +29,95 @@
 	return &Directory{decode: decode, items: make(map[string]entry)}
 }
 
-// At returns the revision up to which the directory is whole; zero means never.
-func (d *Directory) At() carawaycart.StoreRevision { return d.at }
+// At returns the revision up to which the directory is complete, or zero before
+// the first read.
+func (d *Directory) At() carawaycart.StoreRevision { return d.revision }
 
-// Refused returns how many items could not be decoded so far.
-func (d *Directory) Refused() int { return d.refused }
+// Refused returns the number of items received so far that could not be decoded.
+func (d *Directory) Refused() int { return d.decodeFailures }
 
-// Difference is what leads from one revision to a later one.
+// Difference is the delta between two revisions of the store.
 type Difference struct {
 	From, To carawaycart.StoreRevision
 	Items    []carawaycart.StoreItem // written since From
-	Missing  []string                // keys that are gone
+	Missing  []string                // keys removed since From
 }
 
-// Empty reports whether the difference changes no item.
+// Empty reports whether the delta changes no item.
 func (d *Difference) Empty() bool { return len(d.Items) == 0 && len(d.Missing) == 0 }
 
-// Replace takes in all items of the store as they were read when its revision
-// was at, and returns what changed. A read that is older than the directory
-// changes nothing.
-func (d *Directory) Replace(items []carawaycart.StoreItem, at carawaycart.StoreRevision) Difference {
-	change := Difference{From: d.at, To: d.at}
-	if at < d.at {
-		return change
+// Replace applies a full read of the store at revision at and returns the delta.
+// A read older than the directory is ignored, and its delta is empty.
+func (d *Directory) Replace(items []carawaycart.StoreItem, revision carawaycart.StoreRevision) Difference {
+	delta := Difference{From: d.revision, To: d.revision}
+	if revision < d.revision {
+		return delta
 	}
-	change.To = at
+	delta.To = revision
 	present := make(map[string]struct{}, len(items))
 	for _, i := range items {
 		present[i.Key] = struct{}{}
-		if d.put(i) {
-			change.Items = append(change.Items, d.items[i.Key].item)
+		if d.insert(i) {
+			delta.Items = append(delta.Items, d.items[i.Key].item)
 		}
 	}
-	change.Missing = d.removeAbsent(present, at)
-	d.at = at
-	return change
+	delta.Missing = d.removeAbsent(present, revision)
+	d.revision = revision
+	return delta
 }
 
-// removeAbsent removes the items that are not present at revision at.
-func (d *Directory) removeAbsent(present map[string]struct{}, at carawaycart.StoreRevision) []string {
-	var missing []string
+// removeAbsent removes the items that are not present at a revision and returns
+// their keys, sorted. It retains items written after that revision.
+func (d *Directory) removeAbsent(present map[string]struct{}, revision carawaycart.StoreRevision) []string {
+	var removed []string
 	for key, e := range d.items {
-		if _, ok := present[key]; !ok && e.item.Revision <= at {
+		if _, ok := present[key]; !ok && e.item.Revision <= revision {
 			delete(d.items, key)
-			missing = append(missing, key)
+			removed = append(removed, key)
 		}
 	}
-	slices.Sort(missing)
-	return missing
+	slices.Sort(removed)
+	return removed
 }
 
-// Apply takes in a difference and reports whether the directory is whole at its
-// end; it is not if changes before the difference are unknown here.
+// Apply applies a delta and reports whether the directory is now complete up to
+// delta.To. It returns false and changes nothing if the directory is older
+// than delta.From.
 //
-// The directory may have seen items that were written and removed within the
-// difference, which therefore does not tell of them: what was written since its
-// beginning and is not among its items is gone at its end.
-func (d *Directory) Apply(change Difference) bool {
+// A delta omits items that were both written and removed within its range, but
+// the directory may hold them. Items that were written within the range and are
+// not in the delta are therefore removed.
+func (d *Directory) Apply(delta Difference) bool {
 	switch {
-	case change.To <= d.at:
+	case delta.To <= d.revision:
 		return true
-	case change.From > d.at:
+	case delta.From > d.revision:
 		return false
 	}
-	told := make(map[string]struct{}, len(change.Items))
-	for _, i := range change.Items {
-		told[i.Key] = struct{}{}
-		d.put(i)
+	written := make(map[string]struct{}, len(delta.Items))
+	for _, i := range delta.Items {
+		written[i.Key] = struct{}{}
+		d.insert(i)
 	}
-	for _, key := range change.Missing {
-		if e, ok := d.items[key]; ok && e.item.Revision <= change.To {
+	for _, key := range delta.Missing {
+		if e, ok := d.items[key]; ok && e.item.Revision <= delta.To {
 			delete(d.items, key)
 		}
 	}
-	if d.at > change.From {
+	if d.revision > delta.From {
 		for key, e := range d.items {
-			if _, ok := told[key]; !ok && e.item.Revision > change.From && e.item.Revision <= change.To {
+			if _, ok := written[key]; !ok && e.item.Revision > delta.From && e.item.Revision <= delta.To {
 				delete(d.items, key)
 			}
 		}
 	}
-	d.at = change.To
+	d.revision = delta.To
 	return true
 }
 
-// Copy is what a peer needs that is whole at an earlier revision: the items
-// written since, the keys of all items, and the lifetimes that have ended lately,
-// of which the store tells nothing.
+// Copy is a snapshot for a peer that is complete up to an earlier revision: the
+// items written since, the keys of all items, and the recently ended lifetimes,
+// which the store does not list.
 type Copy struct {
 	At    carawaycart.StoreRevision
 	Items []carawaycart.StoreItem
@@ -123,9 +125,10 @@
 	Ended []carawaycart.LifetimeKey
 }
 
-// Since returns the copy for a peer that is whole at revision r.
+// Since returns the snapshot for a peer that is complete up to revision r, with
+// items and keys sorted by key. It leaves Ended empty.
 func (d *Directory) Since(r carawaycart.StoreRevision) Copy {
-	c := Copy{At: d.at}
+	c := Copy{At: d.revision}
 	for key, e := range d.items {
 		c.Keys = append(c.Keys, key)
 		if e.item.Revision > r {
@@ -137,32 +140,34 @@
 	return c
 }
 
-// Adopt takes in a peer's copy and reports whether it was newer.
+// Adopt applies a peer's snapshot and reports whether it was newer than the
+// directory; an older one is ignored.
 func (d *Directory) Adopt(c Copy) bool {
-	if c.At <= d.at {
+	if c.At <= d.revision {
 		return false
 	}
 	for _, i := range c.Items {
-		d.put(i)
+		d.insert(i)
 	}
 	present := make(map[string]struct{}, len(c.Keys))
 	for _, key := range c.Keys {
 		present[key] = struct{}{}
 	}
 	d.removeAbsent(present, c.At)
-	d.at = c.At
+	d.revision = c.At
 	return true
 }
 
-// put takes in i if it is newer than what is held, and reports whether it is.
-func (d *Directory) put(i carawaycart.StoreItem) bool {
-	held, ok := d.items[i.Key]
-	if ok && held.item.Revision >= i.Revision {
+// insert stores i if it is newer than the stored item with its key, and reports
+// whether it is.
+func (d *Directory) insert(i carawaycart.StoreItem) bool {
+	stored, ok := d.items[i.Key]
+	if ok && stored.item.Revision >= i.Revision {
 		return false
 	}
 	record, err := d.decode(i)
 	if err != nil {
-		d.refused++
+		d.decodeFailures++
 	}
 	d.items[i.Key] = entry{item: i, record: record}
 	return true
@@ -174,7 +179,7 @@
 	return e.item, ok
 }
 
-// Contents are the meanings of all items, ordered by key.
+// Contents holds the decoded records of all items, in order of their keys.
 type Contents struct {
 	Config    *carawaycart.RouteConfig
 	ZonesOut  []carawaycart.ZoneID
@@ -183,8 +188,9 @@
 	Instances []carawaycart.Registration
 }
 
-// Contents returns the meanings of all items. An endpoint of a service that the
-// configuration does not name is left out: its entry is not the platform's.
+// Contents returns the decoded records of all items. It omits lifetimes of
+// services that the configuration does not name, because their entries were not
+// written by the platform.
 func (d *Directory) Contents() Contents {
 	keys := make([]string, 0, len(d.items))
 	for key := range d.items {
@@ -206,11 +212,13 @@
 			c.Instances = append(c.Instances, *r.Instance)
 		}
 	}
-	c.dropForeign()
+	c.dropUnconfigured()
 	return c
 }
 
-func (c *Contents) dropForeign() {
+// dropUnconfigured removes the lifetimes of services that the configuration does
+// not name. Without a configuration it removes none.
+func (c *Contents) dropUnconfigured() {
 	if c.Config == nil {
 		return
 	}
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -14,7 +14,8 @@
 	"carawaycart/core/directory"
 )
 
-// decodeZone makes each key a zone that is out, and refuses the value "bad".
+// decodeZone decodes each item as a zone that is out, named KEY=VALUE, and
+// rejects the value "bad".
 func decodeZone(i carawaycart.StoreItem) (carawaycart.Record, error) {
 	if string(i.Value) == "bad" {
 		return carawaycart.Record{}, errors.New("bad")
@@ -28,7 +29,7 @@
 
 func zones(d *directory.Directory) []carawaycart.ZoneID { return d.Contents().ZonesOut }
 
-func TestReplaceTellsWhatChanged(t *testing.T) {
+func TestReplaceReturnsDelta(t *testing.T) {
 	d := directory.New(decodeZone)
 	d.Replace([]carawaycart.StoreItem{item("a", "1", 3), item("b", "1", 4)}, 5)
 	got := d.Replace([]carawaycart.StoreItem{item("b", "2", 7), item("c", "1", 6)}, 8)
@@ -43,25 +44,26 @@
 	}
 }
 
-// A read that was answered late must not bring back what a later one removed.
-func TestOlderReadChangesNothing(t *testing.T) {
+// A read that is answered late must not restore items that a later read removed.
+func TestReplaceIgnoresOlderRead(t *testing.T) {
 	d := directory.New(decodeZone)
 	d.Replace([]carawaycart.StoreItem{item("a", "2", 9)}, 10)
-	if change := d.Replace([]carawaycart.StoreItem{item("a", "1", 3), item("b", "1", 4)}, 5); !change.Empty() {
-		t.Errorf("got %+v, want no change", change)
+	if delta := d.Replace([]carawaycart.StoreItem{item("a", "1", 3), item("b", "1", 4)}, 5); !delta.Empty() {
+		t.Errorf("got %+v, want no change", delta)
 	}
 	if got, want := zones(d), []carawaycart.ZoneID{"a=2"}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
-// Pages are no snapshot: an item may be newer than the revision of the first.
-func TestItemNewerThanTheReadStays(t *testing.T) {
+// The pages of a read are not taken at one moment, so an item may be newer than
+// the revision of the first page.
+func TestReplaceKeepsItemNewerThanRead(t *testing.T) {
 	d := directory.New(decodeZone)
 	d.Replace([]carawaycart.StoreItem{item("a", "1", 12)}, 10)
 	d.Replace(nil, 11)
 	if got, want := zones(d), []carawaycart.ZoneID{"a=1"}; !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v: the read at 11 says nothing of revision 12", got, want)
+		t.Errorf("got %v, want %v: a read at revision 11 must not remove an item of revision 12", got, want)
 	}
 	d.Replace(nil, 12)
 	if got := zones(d); len(got) != 0 {
@@ -69,21 +71,21 @@
 	}
 }
 
-func TestApplyRefusesAGap(t *testing.T) {
+func TestApplyRejectsGap(t *testing.T) {
 	d := directory.New(decodeZone)
 	d.Replace(nil, 5)
 	if d.Apply(directory.Difference{From: 6, To: 8, Items: []carawaycart.StoreItem{item("a", "1", 8)}}) {
-		t.Error("got a difference across a gap applied")
+		t.Error("a delta across a gap of revisions was applied")
 	}
 	if !d.Apply(directory.Difference{From: 4, To: 7, Items: []carawaycart.StoreItem{item("a", "1", 7)}}) || d.At() != 7 {
 		t.Errorf("got revision %d, want 7", d.At())
 	}
 	if !d.Apply(directory.Difference{From: 1, To: 3, Missing: []string{"a"}}) || len(zones(d)) != 1 {
-		t.Error("an old difference removed a newer item")
+		t.Error("an old delta removed a newer item")
 	}
 }
 
-func TestItemsThatCannotBeReadAreCounted(t *testing.T) {
+func TestDecodeFailuresAreCounted(t *testing.T) {
 	d := directory.New(decodeZone)
 	d.Replace([]carawaycart.StoreItem{item("a", "bad", 1), item("b", "1", 2)}, 2)
 	if d.Refused() != 1 || len(zones(d)) != 1 {
@@ -91,74 +93,75 @@
 	}
 }
 
-// store is a model of the platform's store.
+// store models the platform's store.
 type store struct {
-	items map[string]carawaycart.StoreItem
-	at    carawaycart.StoreRevision
+	items    map[string]carawaycart.StoreItem
+	revision carawaycart.StoreRevision
 }
 
 func (s *store) write(key, value string) {
-	s.at++
-	s.items[key] = item(key, value, s.at)
+	s.revision++
+	s.items[key] = item(key, value, s.revision)
 }
 
 func (s *store) remove(key string) {
 	if _, ok := s.items[key]; ok {
-		s.at++
+		s.revision++
 		delete(s.items, key)
 	}
 }
 
 func (s *store) read() ([]carawaycart.StoreItem, carawaycart.StoreRevision) {
-	return slices.Collect(maps.Values(s.items)), s.at
+	return slices.Collect(maps.Values(s.items)), s.revision
 }
 
-// Copies that read, tell and fetch in any order, with news lost, doubled and
-// late, never go back and agree in the end.
-func TestCopiesConverge(t *testing.T) {
+// Directories that apply reads, deltas and snapshots in any order, with deltas
+// lost, duplicated or delayed, never return to an older revision and hold equal
+// items in the end.
+func TestDirectoriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{items: make(map[string]carawaycart.StoreItem)}
-		copies := []*directory.Directory{directory.New(decodeZone), directory.New(decodeZone), directory.New(decodeZone)}
-		var news []directory.Difference
+		directories := []*directory.Directory{directory.New(decodeZone), directory.New(decodeZone), directory.New(decodeZone)}
+		var deltas []directory.Difference
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			c := copies[rapid.IntRange(0, 2).Draw(t, "copy")]
+			c := directories[rapid.IntRange(0, 2).Draw(t, "directory")]
 			before := c.At()
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0, 1:
 				key := fmt.Sprint("k", rapid.IntRange(0, 4).Draw(t, "key"))
-				s.write(key, fmt.Sprint(s.at))
+				s.write(key, fmt.Sprint(s.revision))
 			case 2:
 				s.remove(fmt.Sprint("k", rapid.IntRange(0, 4).Draw(t, "key")))
 			case 3:
-				news = append(news, c.Replace(s.read()))
+				deltas = append(deltas, c.Replace(s.read()))
 			case 4:
-				if len(news) > 0 {
-					c.Apply(news[rapid.IntRange(0, len(news)-1).Draw(t, "news")])
+				if len(deltas) > 0 {
+					c.Apply(deltas[rapid.IntRange(0, len(deltas)-1).Draw(t, "delta")])
 				}
 			case 5:
-				c.Adopt(copies[rapid.IntRange(0, 2).Draw(t, "from")].Since(c.At()))
+				c.Adopt(directories[rapid.IntRange(0, 2).Draw(t, "from")].Since(c.At()))
 			}
 			if c.At() < before {
 				t.Fatalf("got revision %d after %d", c.At(), before)
 			}
-			if c.At() == s.at {
-				compare(t, c, s)
+			if c.At() == s.revision {
+				checkEqual(t, c, s)
 			}
 		}
-		copies[0].Replace(s.read())
-		copies[1].Adopt(copies[0].Since(copies[1].At()))
-		copies[2].Replace(s.read())
-		for _, c := range copies {
-			compare(t, c, s)
+		directories[0].Replace(s.read())
+		directories[1].Adopt(directories[0].Since(directories[1].At()))
+		directories[2].Replace(s.read())
+		for _, c := range directories {
+			checkEqual(t, c, s)
 		}
 	})
 }
 
-func compare(t *rapid.T, d *directory.Directory, s *store) {
+func checkEqual(t *rapid.T, d *directory.Directory, s *store) {
 	model := directory.New(decodeZone)
 	model.Replace(s.read())
 	if got, want := zones(d), zones(model); !slices.Equal(got, want) {
-		t.Fatalf("at revision %d: got %v, want %v", s.at, got, want)
+		t.Fatalf("at revision %d: got %v, want %v", s.revision, got, want)
 	}
 }
 
--- a/core/directory/roster_test.go
+++ b/core/directory/roster_test.go
@@ -43,39 +43,39 @@
 		want  directory.Presence
 	}{
 		{"listed", func(r *directory.Roster) { r.Update(contents(one), start) }, directory.Present},
-		{"missing while the store answers", func(r *directory.Roster) {
+		{"absent while the store answers", func(r *directory.Roster) {
 			r.Update(contents(one, two), start)
 			r.Update(contents(two), start.Add(time.Second))
 		}, directory.Ended},
-		{"missing after trouble", func(r *directory.Roster) {
+		{"absent after a store failure", func(r *directory.Roster) {
 			r.Update(contents(one, two), start)
 			r.Trouble(start.Add(time.Second))
 			r.Update(contents(two), start.Add(2*time.Second))
 		}, directory.Lapsed},
-		{"back after trouble", func(r *directory.Roster) {
+		{"reappeared after a store failure", func(r *directory.Roster) {
 			r.Update(contents(one), start)
 			r.Trouble(start.Add(time.Second))
 			r.Update(contents(), start.Add(2*time.Second))
 			r.Update(contents(one), start.Add(4*time.Second))
 		}, directory.Present},
-		{"not back after trouble", func(r *directory.Roster) {
+		{"absent beyond the grace period after a store failure", func(r *directory.Roster) {
 			r.Update(contents(one), start)
 			r.Trouble(start.Add(time.Second))
 			r.Update(contents(), start.Add(2*time.Second))
 			r.Tick(start.Add(4500 * time.Millisecond))
 		}, directory.Ended},
-		{"missing while the trouble goes on", func(r *directory.Roster) {
+		{"absent while the store keeps failing", func(r *directory.Roster) {
 			r.Update(contents(one), start)
 			r.Trouble(start.Add(time.Second))
 			r.Update(contents(), start.Add(2*time.Second))
 			r.Trouble(start.Add(4 * time.Second))
 			r.Tick(start.Add(5 * time.Second))
 		}, directory.Lapsed},
-		{"started again under the same id", func(r *directory.Roster) {
+		{"restarted under the same id", func(r *directory.Roster) {
 			r.Update(contents(one), start)
 			r.Update(contents(lifetime("i-1", 2, "10.0.0.1:80")), start.Add(time.Second))
 		}, directory.Ended},
-		{"address given to another", func(r *directory.Roster) {
+		{"address reassigned", func(r *directory.Roster) {
 			r.Update(contents(one), start)
 			r.Trouble(start.Add(time.Second))
 			r.Update(contents(one, lifetime("i-9", 7, "10.0.0.1:80")), start.Add(2*time.Second))
@@ -89,24 +89,25 @@
 	}
 }
 
-// A token of an ended lifetime must stay known for as long as its flows may live.
-func TestEndedLifetimeIsRemembered(t *testing.T) {
+// The token of an ended lifetime must stay known for as long as its flows may
+// last, which is 60 s.
+func TestEndedLifetimeIsRetained(t *testing.T) {
 	r := directory.NewRoster()
 	r.Update(contents(lifetime("i-1", 1, "10.0.0.1:80")), start)
 	r.Update(contents(), start.Add(time.Second))
 	r.Tick(start.Add(61 * time.Second))
 	if got, ok := presence(r, "i-1", 1); !ok || got != directory.Ended {
-		t.Errorf("got presence %d (known %t), want ended and known after 60 s", got, ok)
+		t.Errorf("got presence %d (known %t), want ended and retained after 60 s", got, ok)
 	}
 	r.Tick(start.Add(2 * time.Minute))
 	if _, ok := presence(r, "i-1", 1); ok {
-		t.Error("got an ended lifetime that is never forgotten")
+		t.Error("an ended lifetime was not removed after 2 min")
 	}
 }
 
-// The rest of the cold time counts from when an entry was written: reading the
-// same entry again must not lengthen it.
-func TestColdTimeRunsOut(t *testing.T) {
+// The remaining cold time counts from when an entry was written, so reading the
+// same entry again must not extend it.
+func TestRereadDoesNotExtendColdTime(t *testing.T) {
 	l := lifetime("i-1", 1, "10.0.0.1:80")
 	l.ColdLeft = 2 * time.Second
 	c := contents(l)
@@ -121,7 +122,7 @@
 	})
 }
 
-func TestForeignServiceIsLeftOut(t *testing.T) {
+func TestContentsOmitUnconfiguredService(t *testing.T) {
 	d := directory.New(func(i carawaycart.StoreItem) (carawaycart.Record, error) {
 		if i.Key == "config" {
 			return carawaycart.Record{Config: &carawaycart.RouteConfig{Services: []carawaycart.ServicePolicy{{ID: "desk"}}}}, nil
@@ -133,29 +134,29 @@
 	d.Replace([]carawaycart.StoreItem{item("config", "", 1), item("i-1", "desk", 2), item("i-2", "else", 3)}, 3)
 	c := d.Contents()
 	if len(c.Lifetimes) != 1 || c.Lifetimes[0].ID != "i-1" {
-		t.Errorf("got %d lifetimes, want i-1 alone", len(c.Lifetimes))
+		t.Errorf("got %d lifetimes, want only i-1", len(c.Lifetimes))
 	}
 }
 
-// An instance that starts knows nothing of lifetimes that ended before, whose
-// flows still come: its peers tell.
-func TestEndedLifetimesOfPeersAreRemembered(t *testing.T) {
+// An instance that has just started does not know the lifetimes that ended
+// before, though packets of their flows still arrive; it learns them from peers.
+func TestRememberRecordsEndedLifetimesOfPeers(t *testing.T) {
 	one, two := lifetime("i-1", 1, "10.0.0.1:80"), lifetime("i-2", 1, "10.0.0.2:80")
-	old := directory.NewRoster()
-	old.Update(contents(one, two), start)
-	old.Update(contents(two), start.Add(time.Second))
-	fresh := directory.NewRoster()
-	fresh.Update(contents(two), start.Add(2*time.Second))
-	if !fresh.Remember(append(old.Ended(), two.Key()), start.Add(2*time.Second)) {
-		t.Error("got nothing new")
+	running := directory.NewRoster()
+	running.Update(contents(one, two), start)
+	running.Update(contents(two), start.Add(time.Second))
+	restarted := directory.NewRoster()
+	restarted.Update(contents(two), start.Add(2*time.Second))
+	if !restarted.Remember(append(running.Ended(), two.Key()), start.Add(2*time.Second)) {
+		t.Error("got no new lifetime, want i-1")
 	}
-	if got, ok := presence(fresh, "i-1", 1); !ok || got != directory.Ended {
+	if got, ok := presence(restarted, "i-1", 1); !ok || got != directory.Ended {
 		t.Errorf("got presence %d (known %t) of i-1, want ended", got, ok)
 	}
-	if got, _ := presence(fresh, "i-2", 1); got != directory.Present {
-		t.Errorf("got presence %d of i-2, want it present: its entry is there", got)
+	if got, _ := presence(restarted, "i-2", 1); got != directory.Present {
+		t.Errorf("got presence %d of i-2, want it present, as its entry exists", got)
 	}
-	if fresh.Remember(old.Ended(), start.Add(3*time.Second)) {
-		t.Error("got news from what was known")
+	if restarted.Remember(running.Ended(), start.Add(3*time.Second)) {
+		t.Error("got a new lifetime from lifetimes that were known")
 	}
 }
