--- a/core/board/board.go
+++ b/core/board/board.go
@@ -154,7 +154,7 @@
 		return member.DutyFull
 	})
 	if old := b.members.Load(); old != nil {
-		v.Follow(old)
+		v.SetPrevious(old)
 	}
 	b.members.Store(v)
 }
--- a/core/board/entry.go
+++ b/core/board/entry.go
@@ -56,7 +56,7 @@
 	if old != nil && old.view == v {
 		return &old.holders
 	}
-	if old != nil && v.Unchanged(old.view, &old.holders, e.key) {
+	if old != nil && v.HoldersUnchanged(old.view, &old.holders, e.key) {
 		e.holders.Store(&rankedHolders{view: v, holders: old.holders})
 		return &old.holders
 	}
--- a/core/member/bench_test.go
+++ b/core/member/bench_test.go
@@ -12,8 +12,8 @@
 
 var fleetSizes = []int{4, 16, 64, 240, 950, 1900}
 
-// fleetOf returns n ready instances in eight zones.
-func fleetOf(n int) []carawaycart.Member {
+// readyMembers returns n ready instances in eight zones.
+func readyMembers(n int) []carawaycart.Member {
 	all := make([]carawaycart.Member, n)
 	for i := range all {
 		all[i] = carawaycart.Member{
@@ -36,7 +36,7 @@
 
 func BenchmarkHolders(b *testing.B) {
 	eachSize(b, func(b *testing.B, n int) {
-		v := member.NewView(fleetOf(n), full)
+		v := member.NewView(readyMembers(n), fullDuty)
 		var k rendezvous.Key
 		for b.Loop() {
 			v.Holders(k)
@@ -47,16 +47,16 @@
 
 func BenchmarkNewView(b *testing.B) {
 	eachSize(b, func(b *testing.B, n int) {
-		all := fleetOf(n)
+		all := readyMembers(n)
 		for b.Loop() {
-			member.NewView(all, full)
+			member.NewView(all, fullDuty)
 		}
 	})
 }
 
 func BenchmarkDigest(b *testing.B) {
 	eachSize(b, func(b *testing.B, n int) {
-		all := fleetOf(n)
+		all := readyMembers(n)
 		table := member.NewTable(all[0])
 		for _, m := range all[1:] {
 			table.Merge(m, start)
@@ -69,8 +69,8 @@
 
 func BenchmarkNeighbours(b *testing.B) {
 	eachSize(b, func(b *testing.B, n int) {
-		all := fleetOf(n)
-		v := member.NewView(all, full)
+		all := readyMembers(n)
+		v := member.NewView(all, fullDuty)
 		var dst []member.Peer
 		for b.Loop() {
 			dst = v.Neighbours(dst[:0], all[0].ID, all[0].Zone)
--- a/core/member/rapid_test.go
+++ b/core/member/rapid_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Property tests give the same verdict every run.
+// The fixed seed makes property tests reproducible.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -13,40 +13,45 @@
 )
 
 const (
-	suspicionPeriod = 1500 * time.Millisecond
-	forgetPeriod    = 2 * time.Minute
+	// suspicionTimeout is how long a suspect has to refute before it is declared
+	// dead.
+	suspicionTimeout = 1500 * time.Millisecond
+	// departedRetention is how long dead and left instances are retained.
+	departedRetention = 2 * time.Minute
 )
 
-// Table is the merged statements about all instances; it is safe for
-// concurrent use.
+// Table holds the latest update about each instance, which contains its
+// incarnation and state; it is safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	self    carawaycart.Member
 	entries map[carawaycart.InstanceID]*entry
-	news    []carawaycart.Member
+	pending []carawaycart.Member // updates since the last call of TakeNews
 }
 
+// entry is the latest update about an instance, with its deadline if any.
 type entry struct {
 	member   carawaycart.Member
-	deadline time.Time // suspects become dead, dead and left ones are forgotten
+	deadline time.Time // when a suspect becomes dead, or a dead or left instance is removed
 }
 
-// NewTable returns a table that knows only self.
+// NewTable returns a table that contains only self.
 func NewTable(self carawaycart.Member) *Table {
 	t := &Table{self: self, entries: make(map[carawaycart.InstanceID]*entry)}
 	t.entries[self.ID] = &entry{member: self}
-	t.news = append(t.news, self)
+	t.pending = append(t.pending, self)
 	return t
 }
 
-// Self returns the instance's statement about itself.
+// Self returns the instance's own entry.
 func (t *Table) Self() carawaycart.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
 }
 
-// SetRevision states the configuration that the instance runs.
+// SetRevision sets the revision of the configuration that the instance runs. It
+// does not begin a new incarnation.
 func (t *Table) SetRevision(r carawaycart.Revision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,24 +59,25 @@
 	t.entries[t.self.ID].member = t.self
 }
 
-// SetState makes a new statement of the instance about itself.
+// SetState sets the instance's own state under a new incarnation.
 func (t *Table) SetState(s carawaycart.MemberState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.State = s
-	t.state()
+	t.publishSelf()
 }
 
-// state publishes self under the next incarnation.
-func (t *Table) state() {
+// publishSelf queues self as an update under the next incarnation; the caller
+// holds the lock.
+func (t *Table) publishSelf() {
 	t.self.Incarnation++
 	t.entries[t.self.ID].member = t.self
-	t.news = append(t.news, t.self)
+	t.pending = append(t.pending, t.self)
 }
 
-// Merge takes in a statement and reports whether it changed the table. A
-// statement that calls the instance itself anything but what it says of itself
-// is refuted by a new incarnation.
+// Merge applies an update received at now and reports whether it changed the
+// state or incarnation of an instance. An update about the instance itself that
+// overrides its own entry is refuted by a new incarnation.
 func (t *Table) Merge(m carawaycart.Member, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,7 +87,7 @@
 	e, ok := t.entries[m.ID]
 	if !ok {
 		t.entries[m.ID] = &entry{member: m, deadline: deadline(m.State, now)}
-		t.news = append(t.news, m)
+		t.pending = append(t.pending, m)
 		return true
 	}
 	if !overrides(m, e.member) {
@@ -92,19 +98,23 @@
 	}
 	e.member = m
 	e.deadline = deadline(m.State, now)
-	t.news = append(t.news, m)
+	t.pending = append(t.pending, m)
 	return true
 }
 
+// mergeSelf refutes m, an update about the instance itself, if it overrides its
+// entry, and reports whether it did.
 func (t *Table) mergeSelf(m carawaycart.Member) bool {
 	if !overrides(m, t.self) {
 		return false
 	}
 	t.self.Incarnation = m.Incarnation
-	t.state()
+	t.publishSelf()
 	return true
 }
 
+// overrides reports whether m replaces old: the greater incarnation wins, and
+// within one incarnation the later state.
 func overrides(m, old carawaycart.Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
@@ -112,17 +122,20 @@
 	return m.State > old.State
 }
 
+// deadline returns the deadline of an instance that enters state s at now, or
+// the zero time if the state has none.
 func deadline(s carawaycart.MemberState, now time.Time) time.Time {
 	switch s {
 	case carawaycart.MemberSuspect:
-		return now.Add(suspicionPeriod)
+		return now.Add(suspicionTimeout)
 	case carawaycart.MemberDead, carawaycart.MemberLeft:
-		return now.Add(forgetPeriod)
+		return now.Add(departedRetention)
 	}
 	return time.Time{}
 }
 
-// Suspect notes that id did not answer a probe at now.
+// Suspect marks instance id as suspect, because it did not answer a probe at now.
+// It ignores the instance itself and those that are suspect or departed.
 func (t *Table) Suspect(id carawaycart.InstanceID, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,10 +145,11 @@
 	}
 	e.member.State = carawaycart.MemberSuspect
 	e.deadline = deadline(carawaycart.MemberSuspect, now)
-	t.news = append(t.news, e.member)
+	t.pending = append(t.pending, e.member)
 }
 
-// Tick declares suspects dead and forgets the departed as their deadlines pass.
+// Tick declares suspects dead and removes dead and left instances whose
+// deadlines have passed.
 func (t *Table) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,20 +163,20 @@
 		}
 		e.member.State = carawaycart.MemberDead
 		e.deadline = deadline(carawaycart.MemberDead, now)
-		t.news = append(t.news, e.member)
+		t.pending = append(t.pending, e.member)
 	}
 }
 
-// TakeNews returns the statements that changed since the last call.
+// TakeNews returns the updates since the last call and clears them.
 func (t *Table) TakeNews() []carawaycart.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n := t.news
-	t.news = nil
-	return n
+	updates := t.pending
+	t.pending = nil
+	return updates
 }
 
-// Members returns all statements, ordered by ID.
+// Members returns the latest updates about all instances, ordered by ID.
 func (t *Table) Members() []carawaycart.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,8 +188,9 @@
 	return members
 }
 
-// Digest returns a hash of the statements about instances that have not
-// departed; tables with equal statements have equal digests.
+// Digest returns a hash of the identities, incarnations and states of the
+// instances that are neither dead nor left; tables that agree on these have
+// equal digests.
 func (t *Table) Digest() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/member/table_test.go
+++ b/core/member/table_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
-func statement(id string, incarnation int, state carawaycart.MemberState) carawaycart.Member {
+func memberOf(id string, incarnation int, state carawaycart.MemberState) carawaycart.Member {
 	return carawaycart.Member{
 		ID: carawaycart.InstanceID(id), Zone: carawaycart.ZoneID("z" + id[:1]),
 		PeerAddress: netip.MustParseAddrPort("127.0.0.1:1"), Incarnation: carawaycart.Incarnation(incarnation), State: state,
@@ -30,7 +30,7 @@
 	return carawaycart.MemberDead + 1
 }
 
-func TestSuspicionEndsInDeathOrRefutation(t *testing.T) {
+func TestSuspectDiesUnlessRefuted(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		refute bool
@@ -41,11 +41,11 @@
 		{"past the deadline", false, 2 * time.Second, carawaycart.MemberDead},
 		{"refuted", true, 2 * time.Second, carawaycart.MemberReady},
 	} {
-		table := member.NewTable(statement("a1", 1, carawaycart.MemberReady))
-		table.Merge(statement("b1", 1, carawaycart.MemberReady), start)
+		table := member.NewTable(memberOf("a1", 1, carawaycart.MemberReady))
+		table.Merge(memberOf("b1", 1, carawaycart.MemberReady), start)
 		table.Suspect("b1", start)
 		if test.refute {
-			table.Merge(statement("b1", 2, carawaycart.MemberReady), start)
+			table.Merge(memberOf("b1", 2, carawaycart.MemberReady), start)
 		}
 		table.Tick(start.Add(test.after))
 		if got := stateOf(table, "b1"); got != test.want {
@@ -54,42 +54,42 @@
 	}
 }
 
-func TestInstanceRefutesItsOwnDeath(t *testing.T) {
-	table := member.NewTable(statement("a1", 5, carawaycart.MemberReady))
+func TestMergeRefutesOwnDeath(t *testing.T) {
+	table := member.NewTable(memberOf("a1", 5, carawaycart.MemberReady))
 	table.TakeNews()
-	table.Merge(statement("a1", 5, carawaycart.MemberDead), start)
+	table.Merge(memberOf("a1", 5, carawaycart.MemberDead), start)
 	self := table.Self()
 	if self.State != carawaycart.MemberReady || self.Incarnation <= 5 {
 		t.Errorf("got %s in incarnation %d, want ready in a later one", self.State, self.Incarnation)
 	}
-	if news := table.TakeNews(); len(news) != 1 || news[0].ID != "a1" {
-		t.Errorf("got news %v, want the refutation", news)
+	if updates := table.TakeNews(); len(updates) != 1 || updates[0].ID != "a1" {
+		t.Errorf("got updates %v, want the refutation", updates)
 	}
 }
 
-func TestOldStatementsChangeNothing(t *testing.T) {
-	table := member.NewTable(statement("a1", 1, carawaycart.MemberReady))
-	table.Merge(statement("b1", 7, carawaycart.MemberReady), start)
+func TestMergeIgnoresOldUpdates(t *testing.T) {
+	table := member.NewTable(memberOf("a1", 1, carawaycart.MemberReady))
+	table.Merge(memberOf("b1", 7, carawaycart.MemberReady), start)
 	for _, old := range []carawaycart.Member{
-		statement("b1", 6, carawaycart.MemberDead), statement("b1", 7, carawaycart.MemberJoining),
+		memberOf("b1", 6, carawaycart.MemberDead), memberOf("b1", 7, carawaycart.MemberJoining),
 	} {
 		if table.Merge(old, start) {
-			t.Errorf("statement %s in incarnation %d changed the table", old.State, old.Incarnation)
+			t.Errorf("update %s in incarnation %d changed the table", old.State, old.Incarnation)
 		}
 	}
 }
 
-// Tables that merge the same statements in any order agree.
+// Tables that merge the same updates in any order must have equal digests.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []carawaycart.Member
-		for range rapid.IntRange(1, 12).Draw(t, "statements") {
+		for range rapid.IntRange(1, 12).Draw(t, "updates") {
 			id := rapid.SampledFrom([]string{"b1", "b2", "c1"}).Draw(t, "id")
 			state := rapid.IntRange(int(carawaycart.MemberJoining), int(carawaycart.MemberDead)).Draw(t, "state")
-			all = append(all, statement(id, rapid.IntRange(1, 3).Draw(t, "incarnation"), carawaycart.MemberState(state)))
+			all = append(all, memberOf(id, rapid.IntRange(1, 3).Draw(t, "incarnation"), carawaycart.MemberState(state)))
 		}
-		x := member.NewTable(statement("a1", 1, carawaycart.MemberReady))
-		y := member.NewTable(statement("a1", 1, carawaycart.MemberReady))
+		x := member.NewTable(memberOf("a1", 1, carawaycart.MemberReady))
+		y := member.NewTable(memberOf("a1", 1, carawaycart.MemberReady))
 		for _, m := range all {
 			x.Merge(m, start)
 		}
@@ -102,20 +102,21 @@
 	})
 }
 
-func full(carawaycart.ZoneID) member.Duty { return member.DutyFull }
+func fullDuty(carawaycart.ZoneID) member.Duty { return member.DutyFull }
 
-func fleet() []carawaycart.Member {
+func twelveMembers() []carawaycart.Member {
 	var all []carawaycart.Member
 	for _, id := range []string{"a1", "a2", "a3", "b1", "b2", "b3", "c1", "c2", "c3", "d1", "d2", "d3"} {
-		all = append(all, statement(id, 1, carawaycart.MemberReady))
+		all = append(all, memberOf(id, 1, carawaycart.MemberReady))
 	}
 	return all
 }
 
-// Whichever instance or zone is lost, the next keeper held the state before.
-func TestNextKeeperHeldTheState(t *testing.T) {
-	all := fleet()
-	before := member.NewView(all, full)
+// When the keeper or its whole zone is lost, the next keeper must have held the
+// state before.
+func TestNextKeeperIsHolder(t *testing.T) {
+	all := twelveMembers()
+	before := member.NewView(all, fullDuty)
 	for k := range rendezvous.Key(2000) {
 		h := before.Holders(k)
 		for _, lost := range []func(carawaycart.Member) bool{
@@ -128,35 +129,35 @@
 					rest = append(rest, m)
 				}
 			}
-			next := member.NewView(rest, full).Holders(k).Keeper
+			next := member.NewView(rest, fullDuty).Holders(k).Keeper
 			if !h.Contains(next) {
-				t.Fatalf("key %d: keeper %s is followed by %s, which held nothing", k, h.Keeper, next)
+				t.Fatalf("key %d: keeper %s is followed by %s, which did not hold the state", k, h.Keeper, next)
 			}
 		}
 	}
 }
 
-func TestJoiningInstanceHoldsWhatItWillKeep(t *testing.T) {
-	all := fleet()
-	joining := statement("b9", 1, carawaycart.MemberJoining)
-	ready := statement("b9", 1, carawaycart.MemberReady)
-	before := member.NewView(append(all, joining), full)
-	after := member.NewView(append(all, ready), full)
-	kept := 0
+func TestJoiningInstanceIsReplicaBeforeKeeper(t *testing.T) {
+	all := twelveMembers()
+	joining := memberOf("b9", 1, carawaycart.MemberJoining)
+	ready := memberOf("b9", 1, carawaycart.MemberReady)
+	before := member.NewView(append(all, joining), fullDuty)
+	after := member.NewView(append(all, ready), fullDuty)
+	becameKeeper := 0
 	for k := range rendezvous.Key(2000) {
 		h := before.Holders(k)
 		if h.Keeper == "b9" {
 			t.Fatalf("key %d: a joining instance is keeper", k)
 		}
 		if after.Holders(k).Keeper == "b9" {
-			kept++
+			becameKeeper++
 			if !h.Contains("b9") {
 				t.Fatalf("key %d: b9 becomes keeper without having held the state", k)
 			}
 		}
 	}
-	if kept == 0 {
-		t.Error("the instance that joined keeps nothing")
+	if becameKeeper == 0 {
+		t.Error("the instance that joined became keeper of no key")
 	}
 }
 
@@ -175,20 +176,21 @@
 		ready, total int
 	}{
 		{"zone in service", duty(member.DutyFull), 12, 12},
-		{"zone that came back", duty(member.DutyReplica), 9, 12},
+		{"zone returned to service", duty(member.DutyReplica), 9, 12},
 		{"zone out", duty(member.DutyNone), 9, 9},
 		{"all zones out", func(carawaycart.ZoneID) member.Duty { return member.DutyNone }, 12, 12},
 	} {
-		v := member.NewView(fleet(), test.duty)
+		v := member.NewView(twelveMembers(), test.duty)
 		if len(v.Ready()) != test.ready || v.Len() != test.total {
 			t.Errorf("%s: got %d ready of %d, want %d of %d", test.name, len(v.Ready()), v.Len(), test.ready, test.total)
 		}
 	}
 }
 
-// Probing neighbours reaches every instance, so news does too.
+// Updates are disseminated along the probes, so the neighbour relation must
+// connect every instance.
 func TestNeighboursConnectTheFleet(t *testing.T) {
-	v := member.NewView(fleet(), full)
+	v := member.NewView(twelveMembers(), fullDuty)
 	reached := map[carawaycart.InstanceID]bool{"a1": true}
 	for queue := []carawaycart.InstanceID{"a1"}; len(queue) > 0; queue = queue[1:] {
 		id := queue[0]
@@ -208,24 +210,24 @@
 	}
 }
 
-// Holders that Unchanged vouches for are those that the new view gives, whatever
-// instances come, go or change.
-func TestUnchangedIsTrue(t *testing.T) {
+// Holders that HoldersUnchanged reports as unchanged must equal those of the new
+// view, whichever instances join, leave or change.
+func TestHoldersUnchangedIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := []carawaycart.MemberState{carawaycart.MemberReady, carawaycart.MemberJoining, carawaycart.MemberDead}
 		draw := func(label string) *member.View {
 			var all []carawaycart.Member
-			for _, m := range fleet() {
+			for _, m := range twelveMembers() {
 				m.State = rapid.SampledFrom(states).Draw(t, label)
 				all = append(all, m)
 			}
-			return member.NewView(all, full)
+			return member.NewView(all, fullDuty)
 		}
 		before, after := draw("before"), draw("after")
-		after.Follow(before)
+		after.SetPrevious(before)
 		for k := range rendezvous.Key(50) {
 			old, now := before.Holders(k), after.Holders(k)
-			if !after.Unchanged(before, &old, k) {
+			if !after.HoldersUnchanged(before, &old, k) {
 				continue
 			}
 			if old.Keeper != now.Keeper || old.Replicas != now.Replicas {
@@ -235,18 +237,18 @@
 	})
 }
 
-func TestUnchangedSparesMostKeys(t *testing.T) {
-	all := fleet()
-	before := member.NewView(all, full)
-	after := member.NewView(all[:len(all)-1], full)
-	after.Follow(before)
-	spared := 0
+func TestHoldersUnchangedCoversMostKeys(t *testing.T) {
+	all := twelveMembers()
+	before := member.NewView(all, fullDuty)
+	after := member.NewView(all[:len(all)-1], fullDuty)
+	after.SetPrevious(before)
+	unchanged := 0
 	for k := range rendezvous.Key(1000) {
-		if h := before.Holders(k); after.Unchanged(before, &h, k) {
-			spared++
+		if h := before.Holders(k); after.HoldersUnchanged(before, &h, k) {
+			unchanged++
 		}
 	}
-	if spared < 600 {
-		t.Errorf("got %d of 1000 keys spared when one of 12 instances goes, want most", spared)
+	if unchanged < 600 {
+		t.Errorf("got %d of 1000 keys unchanged when one of 12 instances leaves, want at least 600", unchanged)
 	}
 }
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -18,38 +18,42 @@
 	name    rendezvous.Name
 }
 
-// View is an immutable snapshot of the instances that take part in keeping.
+// View is an immutable snapshot of the instances that can be keepers or replicas.
 type View struct {
-	ready   []Peer // decide and hold replicas, ordered by ID
-	joining []Peer // hold replicas only, ordered by ID
+	ready   []Peer // can be keeper or replica, ordered by ID
+	joining []Peer // can be replica only, ordered by ID
 
-	id       uint64 // unique in the process
-	previous uint64 // the view that this one follows, if any
-	changed  []Peer // in one of the two views only
+	id        uint64 // unique in the process, from lastViewID
+	previous  uint64 // id of the preceding view, or zero
+	differing []Peer // peers that differ between the two views
 }
 
-// views counts the views made, to tell them apart without keeping old ones.
-var views atomic.Uint64
+// lastViewID is the id of the latest view. Views are compared by id so that old
+// ones need not be retained.
+var lastViewID atomic.Uint64
 
-// MaxReplicas is the most replicas that Holders names besides the keeper.
+// MaxReplicas is the maximum number of replicas in Holders, without the keeper.
 const MaxReplicas = 4
 
-// Holders names the instances that keep the state of one object.
+// Holders names the instances that hold the state of one object.
 type Holders struct {
-	Keeper   carawaycart.InstanceID
-	Replicas [MaxReplicas]carawaycart.InstanceID
-	Count    int    // number of Replicas in use
-	bar      uint64 // a peer that scores less changes nothing
+	Keeper     carawaycart.InstanceID
+	Replicas   [MaxReplicas]carawaycart.InstanceID
+	Count      int    // number of Replicas in use
+	scoreFloor uint64 // a changed peer with a lower score leaves the holders as they are
 }
 
-// minReplicas is how many replicas a bar needs to hold.
-const minReplicas = 1
+// minReplicasForFloor is the number of replicas below which Holders.scoreFloor is
+// not valid.
+const minReplicasForFloor = 1
 
 // Contains reports whether id is the keeper or a replica.
 func (h *Holders) Contains(id carawaycart.InstanceID) bool {
 	return h.Keeper == id || slices.Contains(h.Replicas[:h.Count], id)
 }
 
+// add appends id to the replicas unless it is empty, already a holder, or there
+// are MaxReplicas.
 func (h *Holders) add(id carawaycart.InstanceID) {
 	if id == "" || h.Contains(id) || h.Count == MaxReplicas {
 		return
@@ -58,19 +62,19 @@
 	h.Count++
 }
 
-// Duty tells what the instances of a zone may hold.
+// Duty is the role that the instances of a zone may have for an object.
 type Duty uint8
 
 // The duties.
 const (
-	DutyFull    Duty = iota // decide and hold replicas
-	DutyReplica             // hold replicas only
+	DutyFull    Duty = iota // keeper or replica
+	DutyReplica             // replica only
 	DutyNone                // neither
 )
 
-// NewView returns the view of the members that are ready or joining, each with
-// no more than its zone's duty. If that leaves nobody to decide, the zones'
-// duties are ignored.
+// NewView returns the view of the members that are ready or joining, restricted
+// to the duties of their zones. If no instance could then be keeper, it ignores
+// the duties. Joining instances are replicas only.
 func NewView(members []carawaycart.Member, duty func(carawaycart.ZoneID) Duty) *View {
 	v := newView(members, duty)
 	if len(v.ready) == 0 {
@@ -80,11 +84,11 @@
 }
 
 func newView(members []carawaycart.Member, duty func(carawaycart.ZoneID) Duty) *View {
-	v := &View{id: views.Add(1)}
+	v := &View{id: lastViewID.Add(1)}
 	for _, m := range members {
 		d := duty(m.Zone)
-		alive := m.State == carawaycart.MemberReady || m.State == carawaycart.MemberJoining
-		if d == DutyNone || !alive {
+		participates := m.State == carawaycart.MemberReady || m.State == carawaycart.MemberJoining
+		if d == DutyNone || !participates {
 			continue
 		}
 		p := Peer{ID: m.ID, Zone: m.Zone, Address: m.PeerAddress, name: rendezvous.NewName(string(m.ID))}
@@ -100,8 +104,8 @@
 	return v
 }
 
-// Ready returns the instances that decide, ordered by ID; the slice must not be
-// modified.
+// Ready returns the instances that can be keepers, ordered by ID; the slice must
+// not be modified.
 func (v *View) Ready() []Peer { return v.ready }
 
 // Len returns the number of instances in the view.
@@ -116,8 +120,9 @@
 // empty if no instance is ready.
 //
 // The replicas are the highest-scoring ready instance after the keeper, the
-// highest outside the keeper's zone, and the same two over ready and joining
-// instances together, so that a joining instance receives what it will keep.
+// highest outside the keeper's zone, and the highest overall and outside its
+// zone among ready and joining instances together, so that a joining instance
+// receives the state of the objects whose keeper it will become.
 func (v *View) Holders(key rendezvous.Key) Holders {
 	var r ranking
 	r.addAll(v.ready, key)
@@ -127,7 +132,7 @@
 	}
 	h.add(r.second.id())
 	h.add(r.outside.id())
-	h.bar = min(r.second.score, r.outside.score)
+	h.scoreFloor = min(r.second.score, r.outside.score)
 	if len(v.joining) > 0 {
 		r.addAll(v.joining, key)
 		h.add(r.first.id())
@@ -136,30 +141,32 @@
 	return h
 }
 
-// ranked is a peer with its score for one key.
-type ranked struct {
+// scoredPeer is a peer with its score for one key; the peer is nil if there is
+// none.
+type scoredPeer struct {
 	peer  *Peer
 	score uint64
 }
 
-func (r ranked) id() carawaycart.InstanceID {
+// id returns the peer's ID, or the empty ID if there is no peer.
+func (r scoredPeer) id() carawaycart.InstanceID {
 	if r.peer == nil {
 		return ""
 	}
 	return r.peer.ID
 }
 
-// ranking finds the highest-scoring peer, the second highest, and the highest
+// ranking holds the highest-scoring peer, the second highest, and the highest
 // outside the zone of the first.
-type ranking struct{ first, second, outside ranked }
+type ranking struct{ first, second, outside scoredPeer }
 
 func (r *ranking) addAll(peers []Peer, key rendezvous.Key) {
 	for i := range peers {
-		r.add(ranked{&peers[i], rendezvous.Score(peers[i].name, key)})
+		r.add(scoredPeer{&peers[i], rendezvous.Score(peers[i].name, key)})
 	}
 }
 
-func (r *ranking) add(c ranked) {
+func (r *ranking) add(c scoredPeer) {
 	switch {
 	case r.first.peer == nil || c.score > r.first.score:
 		if r.first.peer != nil && c.peer.Zone != r.first.peer.Zone {
@@ -176,17 +183,17 @@
 	}
 }
 
-// Follow makes v the successor of previous, so that Unchanged can tell which
-// holders are the same in both. It must be called before v is shared.
-func (v *View) Follow(previous *View) {
+// SetPrevious makes v the successor of previous, so that HoldersUnchanged can
+// compare the two. It must be called before v is shared.
+func (v *View) SetPrevious(previous *View) {
 	v.previous = previous.id
-	v.changed = appendChanged(v.changed[:0], previous.ready, v.ready)
-	v.changed = appendChanged(v.changed, previous.joining, v.joining)
+	v.differing = appendDiffering(v.differing[:0], previous.ready, v.ready)
+	v.differing = appendDiffering(v.differing, previous.joining, v.joining)
 }
 
-// appendChanged appends to dst the peers that are only in one of a and b, which
-// are ordered by ID.
-func appendChanged(dst, a, b []Peer) []Peer {
+// appendDiffering appends to dst the peers that are in only one of a and b, and
+// both versions of a peer that changed. Both slices must be ordered by ID.
+func appendDiffering(dst, a, b []Peer) []Peer {
 	for len(a) > 0 || len(b) > 0 {
 		switch {
 		case len(b) == 0 || len(a) > 0 && a[0].ID < b[0].ID:
@@ -205,29 +212,30 @@
 	return dst
 }
 
-// Unchanged reports whether h, the holders of key in view old, are certainly
-// the holders of key in v too. That needs v to follow old, and takes time in
-// proportion to the instances that changed.
-func (v *View) Unchanged(old *View, h *Holders, key rendezvous.Key) bool {
-	if v.previous != old.id || h.Keeper == "" || h.Count < minReplicas {
+// HoldersUnchanged reports whether h, the holders of key in view old, are
+// certainly the holders of key in v too. It returns false unless old is the
+// previous view of v, and takes time linear in the number of changed peers.
+func (v *View) HoldersUnchanged(old *View, h *Holders, key rendezvous.Key) bool {
+	if v.previous != old.id || h.Keeper == "" || h.Count < minReplicasForFloor {
 		return false
 	}
-	for i := range v.changed {
-		c := &v.changed[i]
-		if h.Contains(c.ID) || rendezvous.Score(c.name, key) >= h.bar {
+	for i := range v.differing {
+		c := &v.differing[i]
+		if h.Contains(c.ID) || rendezvous.Score(c.name, key) >= h.scoreFloor {
 			return false
 		}
 	}
 	return true
 }
 
-// HasAddress reports whether an instance of the view has peer address a.
+// HasAddress reports whether an instance in the view has peer address a.
 func (v *View) HasAddress(a netip.AddrPort) bool {
 	same := func(p Peer) bool { return p.Address == a }
 	return slices.ContainsFunc(v.ready, same) || slices.ContainsFunc(v.joining, same)
 }
 
-// Address returns the peer address of instance id in the view.
+// Address returns the peer address of instance id, and false if it is not in the
+// view.
 func (v *View) Address(id carawaycart.InstanceID) (netip.AddrPort, bool) {
 	for _, peers := range [2][]Peer{v.ready, v.joining} {
 		i, ok := slices.BinarySearchFunc(peers, id, func(p Peer, id carawaycart.InstanceID) int { return cmp.Compare(p.ID, id) })
@@ -238,20 +246,21 @@
 	return netip.AddrPort{}, false
 }
 
-// Neighbours appends to dst the peers that self probes and returns it: its
-// successor in the ring of its zone's instances, its highest-scoring other
-// peer of the zone, and its highest-scoring peer in each other zone.
+// Neighbours appends to dst the peers that self probes, sorts dst by ID and
+// returns it. The peers are the successor of self in the ring of its zone's
+// instances ordered by ID, and its highest-scoring peer in each zone, its own
+// included.
 func (v *View) Neighbours(dst []Peer, self carawaycart.InstanceID, zone carawaycart.ZoneID) []Peer {
 	key := rendezvous.NewKey(string(self))
-	best := make(map[carawaycart.ZoneID]Peer)
+	bestByZone := make(map[carawaycart.ZoneID]Peer)
 	var successor, first Peer
 	for _, peers := range [2][]Peer{v.ready, v.joining} {
 		for _, p := range peers {
 			if p.ID == self {
 				continue
 			}
-			if b, ok := best[p.Zone]; !ok || rendezvous.Score(p.name, key) > rendezvous.Score(b.name, key) {
-				best[p.Zone] = p
+			if b, ok := bestByZone[p.Zone]; !ok || rendezvous.Score(p.name, key) > rendezvous.Score(b.name, key) {
+				bestByZone[p.Zone] = p
 			}
 			if p.Zone != zone {
 				continue
@@ -270,7 +279,7 @@
 	if successor.ID != "" {
 		dst = append(dst, successor)
 	}
-	for _, p := range best {
+	for _, p := range bestByZone {
 		if p.ID != successor.ID {
 			dst = append(dst, p)
 		}
