--- a/core/board/bench_test.go
+++ b/core/board/bench_test.go
@@ -16,12 +16,12 @@
 
 var start = time.Unix(1000, 0)
 
-// site is a number of services with endpoints for each.
+// site is the total numbers of services and endpoints of a configuration.
 type site struct{ services, endpoints int }
 
 var sites = []site{{2, 18}, {100, 900}, {500, 4500}, {2300, 21000}}
 
-// build returns the configuration of s.
+// build returns a configuration of size s with eight zones.
 func build(tb testing.TB, s site) *config.Configuration {
 	tb.Helper()
 	var bundle config.Bundle
@@ -56,14 +56,16 @@
 	}
 }
 
-func mark(c *config.Configuration, m carawaycart.EndpointMark) carawaycart.Change {
+// markChange returns the change that sets the mark of endpoint-0 to m.
+func markChange(c *config.Configuration, m carawaycart.EndpointMark) carawaycart.Change {
 	e := c.Endpoints["endpoint-0"]
 	e.Mark = m
 	after, _ := json.Marshal(e)
 	return carawaycart.Change{Revision: c.Revision + 1, ID: "id", Kind: carawaycart.KindEndpoint, Name: "endpoint-0", After: after}
 }
 
-// BenchmarkChange is one change of an endpoint, applied and put in force.
+// BenchmarkChange measures applying a change of one endpoint and putting it in
+// force.
 func BenchmarkChange(b *testing.B) {
 	eachSite(b, func(b *testing.B, c *config.Configuration) {
 		board := board.New("i1")
@@ -71,11 +73,11 @@
 		now := start
 		marks := []carawaycart.EndpointMark{carawaycart.MarkLeaving, carawaycart.MarkNone}
 		for i := 0; b.Loop(); i++ {
-			n, err := c.Apply(mark(c, marks[i%2]))
+			next, err := c.Apply(markChange(c, marks[i%2]))
 			if err != nil {
 				b.Fatal(err)
 			}
-			c = n
+			c = next
 			now = now.Add(time.Minute)
 			board.SetConfig(c, now)
 			board.Tick(now.Add(time.Second))
@@ -84,16 +86,17 @@
 	})
 }
 
-// BenchmarkMemory reports the bytes of a configuration in force.
+// BenchmarkMemory reports the size of a configuration in force, on the heap and
+// encoded, in bytes.
 func BenchmarkMemory(b *testing.B) {
 	for _, s := range sites {
 		b.Run(fmt.Sprintf("services=%d/endpoints=%d", s.services, s.endpoints), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
+				before := heapBytes()
 				c := build(b, s)
 				board := board.New("i1")
 				board.SetConfig(c, start)
-				b.ReportMetric(float64(heap()-before), "heap-bytes")
+				b.ReportMetric(float64(heapBytes()-before), "heap-bytes")
 				data, err := c.Encode()
 				if err != nil {
 					b.Fatal(err)
@@ -105,7 +108,8 @@
 	}
 }
 
-func heap() uint64 {
+// heapBytes returns the bytes of allocated heap objects after a collection.
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/core/board/board.go
+++ b/core/board/board.go
@@ -14,13 +14,19 @@
 )
 
 const (
-	activatePeriod = time.Second     // until every instance has a revision
-	stablePeriod   = 2 * time.Second // until every instance follows its tables
-	returnPeriod   = 2 * time.Second // until the instances of a zone that is back hold what they will keep
-	entryShards    = 64
+	// activationDelay is the time until every instance has a revision.
+	activationDelay = time.Second
+	// stabilityDelay is the time until every instance follows the tables of a
+	// revision.
+	stabilityDelay = 2 * time.Second
+	// zoneReturnDelay is the time until the instances of a zone that returned to
+	// service hold the state of the objects whose keepers they will become.
+	zoneReturnDelay = 2 * time.Second
+
+	entryShards = 64
 )
 
-// View is the configuration with its routes at one moment; it is immutable.
+// View is an immutable snapshot of the configuration and its routes.
 type View struct {
 	Config   *config.Configuration
 	services map[netip.AddrPort]*ServiceRoute
@@ -33,24 +39,25 @@
 // ServiceByID returns the route of service id, or nil.
 func (v *View) ServiceByID(id carawaycart.ServiceID) *ServiceRoute { return v.byID[id] }
 
-// Services returns all routes by service; the map must not be modified.
+// Services returns the routes of all services; the map must not be modified.
 func (v *View) Services() map[carawaycart.ServiceID]*ServiceRoute { return v.byID }
 
-// Board is the blackboard of one instance; it is safe for concurrent use.
+// Board is the shared state of one instance; it is safe for concurrent use.
 type Board struct {
 	Self carawaycart.InstanceID
 
 	view         atomic.Pointer[View]
 	members      atomic.Pointer[member.View]
 	statusDigest atomic.Uint64
-	awake        atomic.Int64 // Unix nanoseconds until which the instance may decide
+	decideUntil  atomic.Int64 // Unix nanoseconds until which the instance may make decisions
 
-	mu       sync.Mutex // guards updates of view and members
-	latest   []carawaycart.Member
-	returned map[carawaycart.ZoneID]time.Time // until when zones that are back only hold replicas
-	shards   [entryShards]entryShard
+	mu               sync.Mutex // guards updates of view and members, and the fields below but shards
+	memberList       []carawaycart.Member
+	replicaOnlyUntil map[carawaycart.ZoneID]time.Time // when zones that returned to service get full duty
+	shards           [entryShards]entryShard
 }
 
+// entryShard holds the entries whose IDs hash to it.
 type entryShard struct {
 	mu      sync.RWMutex
 	entries map[carawaycart.EndpointID]*Entry
@@ -58,7 +65,7 @@
 
 // New returns the board of instance self, without configuration or members.
 func New(self carawaycart.InstanceID) *Board {
-	b := &Board{Self: self, returned: make(map[carawaycart.ZoneID]time.Time)}
+	b := &Board{Self: self, replicaOnlyUntil: make(map[carawaycart.ZoneID]time.Time)}
 	for i := range b.shards {
 		b.shards[i].entries = make(map[carawaycart.EndpointID]*Entry)
 	}
@@ -69,10 +76,11 @@
 // View returns the configuration in force, or nil before the first one.
 func (b *Board) View() *View { return b.view.Load() }
 
-// Members returns the view of the fleet.
+// Members returns the current view of the fleet; it is never nil.
 func (b *Board) Members() *member.View { return b.members.Load() }
 
-// Revision returns the revision of the configuration, or zero.
+// Revision returns the revision of the configuration in force, or zero before the
+// first one.
 func (b *Board) Revision() carawaycart.Revision {
 	if v := b.View(); v != nil {
 		return v.Config.Revision
@@ -80,14 +88,15 @@
 	return 0
 }
 
-// StayAwake lets the instance decide until deadline. An instance that was paused
-// past its deadline has to learn first what changed and whether it was replaced.
-func (b *Board) StayAwake(deadline time.Time) { b.awake.Store(deadline.UnixNano()) }
+// StayAwake allows the instance to make decisions until deadline. An instance
+// whose process was paused past the deadline must first receive what changed in
+// the meantime and whether it was replaced.
+func (b *Board) StayAwake(deadline time.Time) { b.decideUntil.Store(deadline.UnixNano()) }
 
-// Awake reports whether the instance may decide at now.
-func (b *Board) Awake(now time.Time) bool { return now.UnixNano() < b.awake.Load() }
+// Awake reports whether the instance may make decisions at now.
+func (b *Board) Awake(now time.Time) bool { return now.UnixNano() < b.decideUntil.Load() }
 
-// Entry returns the entry of endpoint id, made at the first call.
+// Entry returns the entry of endpoint id and creates it on the first call.
 func (b *Board) Entry(id carawaycart.EndpointID) *Entry {
 	s := &b.shards[xxhash.Sum64String(string(id))%entryShards]
 	s.mu.RLock()
@@ -106,14 +115,14 @@
 	return e
 }
 
-// Keeps reports whether the instance is the keeper of endpoint e.
+// Keeps reports whether the instance is the keeper of e's endpoint.
 func (b *Board) Keeps(e *Entry) bool { return e.Holders(b.Members()).Keeper == b.Self }
 
 // StatusDigest returns a hash of the statuses of all endpoints; boards with equal
 // statuses have equal digests.
 func (b *Board) StatusDigest() uint64 { return b.statusDigest.Load() }
 
-// Entries calls f for each entry, in no order.
+// Entries calls f for each entry, in no particular order and without a lock held.
 func (b *Board) Entries(f func(*Entry)) {
 	for i := range b.shards {
 		s := &b.shards[i]
@@ -129,26 +138,27 @@
 	}
 }
 
-// SetMembers takes in the members of the fleet.
+// SetMembers sets the members of the fleet.
 func (b *Board) SetMembers(members []carawaycart.Member) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.latest = members
+	b.memberList = members
 	b.rebuildMembers()
 }
 
-// rebuildMembers gives no duties to the instances of zones that are out, and
-// lets those of zones that came back receive replicas first.
+// rebuildMembers replaces the view of the fleet. Instances of zones that are out
+// have no duty. Instances of zones that returned to service first receive
+// replicas only.
 func (b *Board) rebuildMembers() {
 	zones := map[carawaycart.ZoneID]carawaycart.Zone{}
 	if v := b.View(); v != nil {
 		zones = v.Config.Zones
 	}
-	v := member.NewView(b.latest, func(z carawaycart.ZoneID) member.Duty {
+	v := member.NewView(b.memberList, func(z carawaycart.ZoneID) member.Duty {
 		if zones[z].Out {
 			return member.DutyNone
 		}
-		if _, ok := b.returned[z]; ok {
+		if _, ok := b.replicaOnlyUntil[z]; ok {
 			return member.DutyReplica
 		}
 		return member.DutyFull
@@ -159,24 +169,25 @@
 	b.members.Store(v)
 }
 
-// noteReturns notes the zones that c brings back at now.
-func (b *Board) noteReturns(old *View, c *config.Configuration, now time.Time) {
+// recordReturnedZones records the zones that c returns to service at now.
+func (b *Board) recordReturnedZones(old *View, c *config.Configuration, now time.Time) {
 	if old == nil {
 		return
 	}
 	for id, z := range c.Zones {
 		if old.Config.Zones[id].Out && !z.Out {
-			b.returned[id] = now.Add(returnPeriod)
+			b.replicaOnlyUntil[id] = now.Add(zoneReturnDelay)
 		}
 	}
 }
 
-// endReturns gives duties to zones that have been back for long enough.
-func (b *Board) endReturns(now time.Time) {
+// expireReturnedZones gives full duty to zones that returned to service at least
+// zoneReturnDelay ago.
+func (b *Board) expireReturnedZones(now time.Time) {
 	ended := false
-	for id, deadline := range b.returned {
+	for id, deadline := range b.replicaOnlyUntil {
 		if !now.Before(deadline) {
-			delete(b.returned, id)
+			delete(b.replicaOnlyUntil, id)
 			ended = true
 		}
 	}
@@ -185,8 +196,9 @@
 	}
 }
 
-// SetConfig takes in a configuration that arrived at now and reports whether it
-// is newer than the one held. The first one takes effect at once.
+// SetConfig applies a configuration that arrived at now and reports whether it is
+// newer than the one in force; it ignores any other. The first configuration
+// takes effect immediately.
 func (b *Board) SetConfig(c *config.Configuration, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -198,30 +210,33 @@
 		e := c.Endpoints[id]
 		b.Entry(id).endpoint.Store(&e)
 	}
-	b.noteReturns(old, c, now)
-	b.rebuild(old, c, now)
+	b.recordReturnedZones(old, c, now)
+	b.rebuildView(old, c, now)
 	b.rebuildMembers()
 	return true
 }
 
-// Tick lets routes follow newer tables as their periods pass.
+// Tick switches routes to newer tables and gives full duty to returned zones once
+// their delays have passed.
 func (b *Board) Tick(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.endReturns(now)
+	b.expireReturnedZones(now)
 	v := b.View()
 	if v == nil {
 		return
 	}
 	for _, r := range v.byID {
 		if r.Active != r.Latest() || len(r.Recent) > 1 {
-			b.rebuild(v, v.Config, now)
+			b.rebuildView(v, v.Config, now)
 			return
 		}
 	}
 }
 
-func (b *Board) rebuild(old *View, c *config.Configuration, now time.Time) {
+// rebuildView replaces the view by that of c and reuses the routes of old, which
+// may be nil, that are up to date.
+func (b *Board) rebuildView(old *View, c *config.Configuration, now time.Time) {
 	v := &View{
 		Config:   c,
 		services: make(map[netip.AddrPort]*ServiceRoute, len(c.Services)),
@@ -232,15 +247,17 @@
 		if old != nil {
 			previous = old.byID[id]
 		}
-		r := b.route(previous, s, c, now)
+		r := b.nextRoute(previous, s, c, now)
 		v.services[s.Address] = r
 		v.byID[id] = r
 	}
 	b.view.Store(v)
 }
 
-func (b *Board) route(previous *ServiceRoute, s carawaycart.Service, c *config.Configuration, now time.Time) *ServiceRoute {
-	if previous.same(s, c) {
+// nextRoute returns the route that follows previous, which may be nil, for service
+// s in c at now.
+func (b *Board) nextRoute(previous *ServiceRoute, s carawaycart.Service, c *config.Configuration, now time.Time) *ServiceRoute {
+	if previous.upToDate(s, c) {
 		return previous
 	}
 	r := &ServiceRoute{Service: s, Profile: c.Profiles[s.Profile], members: c.ServiceEndpoints(s.ID)}
@@ -249,62 +266,68 @@
 	}
 	slots := c.Slots[s.ID]
 	if previous == nil {
-		r.Active = b.table(slots, time.Time{})
+		r.Active = b.newTable(slots, time.Time{})
 		r.Recent = []*Table{r.Active}
-		r.keepActivity(nil)
+		r.carryActivity(nil)
 		return r
 	}
 	r.Active = previous.Active
 	tables := previous.Recent
-	if !sameTable(previous.Latest().slots, slots) {
-		tables = append(tables[:len(tables):len(tables)], b.table(slots, now))
+	if !sharesSlots(previous.Latest().slots, slots) {
+		tables = append(tables[:len(tables):len(tables)], b.newTable(slots, now))
 	}
-	// A table matters until its successor has been in force for stablePeriod.
+	// A table is recent until stabilityDelay after its successor arrived.
 	for i, t := range tables {
-		if i+1 == len(tables) || now.Sub(tables[i+1].since) < stablePeriod {
+		if i+1 == len(tables) || now.Sub(tables[i+1].arrivedAt) < stabilityDelay {
 			r.Recent = append(r.Recent, t)
 		}
-		if now.Sub(t.since) >= activatePeriod {
+		if now.Sub(t.arrivedAt) >= activationDelay {
 			r.Active = t
 		}
 	}
-	r.keepActivity(previous.activity)
+	r.carryActivity(previous.baseActivity)
 	return r
 }
 
-// same reports whether c leaves everything about the route as it is, and no
-// period of it is still to pass.
-func (r *ServiceRoute) same(s carawaycart.Service, c *config.Configuration) bool {
+// upToDate reports whether c leaves the route unchanged and none of its tables
+// has a delay that is still to pass.
+func (r *ServiceRoute) upToDate(s carawaycart.Service, c *config.Configuration) bool {
 	return r != nil && len(r.Recent) == 1 && r.Active == r.Recent[0] && r.Service == s && r.Profile == c.Profiles[s.Profile] &&
-		sameTable(r.Active.slots, c.Slots[s.ID]) && sameMembers(r.members, c.ServiceEndpoints(s.ID))
+		sharesSlots(r.Active.slots, c.Slots[s.ID]) && sharesMembers(r.members, c.ServiceEndpoints(s.ID))
 }
 
-func sameMembers(a, b []carawaycart.EndpointID) bool {
+// sharesMembers reports whether a and b are the same slice, as the members of
+// services that a change does not affect are.
+func sharesMembers(a, b []carawaycart.EndpointID) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// sameTable reports whether a and b share their slots, as the tables of
-// services that a change does not touch do.
-func sameTable(a, b carawaycart.SlotTable) bool {
+// sharesSlots reports whether a and b share their slots, as the tables of
+// services that a change does not affect do.
+func sharesSlots(a, b carawaycart.SlotTable) bool {
 	return len(a.Base) == len(b.Base) && &a.Base[0] == &b.Base[0]
 }
 
-func (b *Board) table(slots carawaycart.SlotTable, since time.Time) *Table {
-	t := &Table{slots: slots, since: since}
+// newTable resolves slots to a table that arrived at arrivedAt; the zero time
+// makes it active immediately.
+func (b *Board) newTable(slots carawaycart.SlotTable, arrivedAt time.Time) *Table {
+	t := &Table{slots: slots, arrivedAt: arrivedAt}
 	for _, id := range slots.Members {
 		t.entries = append(t.entries, b.Entry(id))
 	}
 	return t
 }
 
-// keepActivity carries the activity of a dirty table on.
-func (r *ServiceRoute) keepActivity(old *activity) {
+// carryActivity gives r the activity of its predecessor, or an empty one if old
+// has another number of slots. It does nothing if the latest table has no dirty
+// slot.
+func (r *ServiceRoute) carryActivity(old *baseActivity) {
 	n := r.Latest().Len()
 	switch {
 	case r.Latest().Dirty() == 0:
-	case old != nil && len(old.seen) == n:
-		r.activity = old
+	case old != nil && len(old.lastBaseUse) == n:
+		r.baseActivity = old
 	default:
-		r.activity = &activity{seen: make([]atomic.Uint32, n)}
+		r.baseActivity = &baseActivity{lastBaseUse: make([]atomic.Uint32, n)}
 	}
 }
--- a/core/board/board_test.go
+++ b/core/board/board_test.go
@@ -14,8 +14,9 @@
 
 func serviceAddress() netip.AddrPort { return netip.MustParseAddrPort("192.0.0.0:443") }
 
-// A revision's tables are followed after a second, and alone after two.
-func TestTablesActInSteps(t *testing.T) {
+// The tables of a revision must become active after 1 s and be the only recent
+// ones after 2 s.
+func TestTablesTakeEffectInSteps(t *testing.T) {
 	b := board.New("i1")
 	c := build(t, site{1, 4})
 	b.SetConfig(c, start)
@@ -23,9 +24,9 @@
 	e := c.Endpoints["endpoint-0"]
 	e.Mark = carawaycart.MarkLeaving
 	b.SetConfig(configtest.Put(t, c, carawaycart.KindEndpoint, "endpoint-0", e), start)
-	var moved carawaycart.Fingerprint
-	for old.Slot(old.Index(moved)).Current.ID != "endpoint-0" {
-		moved++
+	var movedFlow carawaycart.Fingerprint
+	for old.Slot(old.Index(movedFlow)).Current.ID != "endpoint-0" {
+		movedFlow++
 	}
 	for _, test := range []struct {
 		after          time.Duration
@@ -39,7 +40,7 @@
 	} {
 		b.Tick(start.Add(test.after))
 		r := b.View().Service(serviceAddress())
-		stable, baseStable := r.Stable(moved)
+		stable, baseStable := r.Stable(movedFlow)
 		if active := r.Active != old; active != test.active || stable != test.stable || !baseStable {
 			t.Errorf("after %v: got active %t, stable %t, base stable %t; want %t, %t, true",
 				test.after, active, stable, baseStable, test.active, test.stable)
@@ -47,7 +48,7 @@
 	}
 }
 
-func TestOlderConfigurationIsRefused(t *testing.T) {
+func TestSetConfigRejectsOlderRevision(t *testing.T) {
 	b := board.New("i1")
 	c := build(t, site{1, 4})
 	n := configtest.Put(t, c, carawaycart.KindZone, "zone-0", carawaycart.Zone{ID: "zone-0", Out: true})
@@ -62,9 +63,9 @@
 	}
 }
 
-// Instances of a zone that is back decide nothing until they hold what they
-// will keep.
-func TestInstancesOfAZoneThatIsBackHoldReplicasFirst(t *testing.T) {
+// Instances of a zone that returned to service must not be keepers until they
+// hold the state of the objects whose keepers they will become.
+func TestReturnedZoneHoldsReplicasFirst(t *testing.T) {
 	b := board.New("i1")
 	c := build(t, site{1, 4})
 	b.SetConfig(c, start)
@@ -88,14 +89,15 @@
 	check("out", 4, 4)
 	c = configtest.Put(t, c, carawaycart.KindZone, "zone-0", carawaycart.Zone{ID: "zone-0"})
 	b.SetConfig(c, start)
-	check("back", 4, 8)
+	check("returned", 4, 8)
 	b.Tick(start.Add(time.Second))
-	check("back for a second", 4, 8)
+	check("returned for 1 s", 4, 8)
 	b.Tick(start.Add(2 * time.Second))
-	check("back for two seconds", 8, 8)
+	check("returned for 2 s", 8, 8)
 }
 
-// Boards agree on the digest once they hold the same statuses, by whatever way.
+// Boards with equal statuses must have equal digests, whether they issued or
+// received the statuses.
 func TestStatusDigest(t *testing.T) {
 	x, y := board.New("x"), board.New("y")
 	for i := range 5 {
@@ -117,9 +119,9 @@
 		return carawaycart.EndpointStatus{Endpoint: "e", Version: v, Keeper: keeper, Guarded: guarded}
 	}
 	for _, test := range []struct {
-		name  string
-		next  carawaycart.EndpointStatus
-		taken bool
+		name     string
+		next     carawaycart.EndpointStatus
+		accepted bool
 	}{
 		{"newer", status(6, "a", true), true},
 		{"older", status(4, "z", true), false},
@@ -128,8 +130,8 @@
 	} {
 		e := board.New("i1").Entry("e")
 		e.MergeStatus(status(5, "b", false))
-		if got := e.MergeStatus(test.next); got != test.taken || e.Guarded() != test.taken {
-			t.Errorf("%s: got taken %t and guarded %t, want %t", test.name, got, e.Guarded(), test.taken)
+		if got := e.MergeStatus(test.next); got != test.accepted || e.Guarded() != test.accepted {
+			t.Errorf("%s: got accepted %t and guarded %t, want %t", test.name, got, e.Guarded(), test.accepted)
 		}
 	}
 }
--- a/core/board/doc.go
+++ b/core/board/doc.go
@@ -1,11 +1,11 @@
-// Package board is the blackboard that the controllers of one instance read and
-// write: the configuration in force, the members of the fleet, and an Entry for
-// each endpoint.
+// Package board holds the state that the controllers of one instance share: the
+// configuration in force, the members of the fleet, and an Entry for each
+// endpoint. It is the blackboard that the controllers read and write.
 //
-// A revision of configuration acts in three steps, because instances learn of
-// it at different times. From its arrival it refuses new work where it must.
-// After activatePeriod packets follow its slot tables, when every instance has
-// it. After stablePeriod new flows may be opened under it, when every instance
-// follows its tables; until then a new flow is opened only where the tables
-// before and after agree on its owner.
+// A revision of the configuration takes effect in three steps, because instances
+// receive it at different times. On arrival, the instance rejects new work where
+// the revision requires it. After activationDelay, when every instance has the
+// revision, packets follow its slot tables. After stabilityDelay, when every
+// instance follows these tables, new flows may be opened under it; until then a
+// new flow is opened only where the tables before and after agree on its owner.
 package board
--- a/core/board/entry.go
+++ b/core/board/entry.go
@@ -14,29 +14,29 @@
 	"carawaycart/internal/rendezvous"
 )
 
-// Entry is what the instance knows about one endpoint; it is safe for
-// concurrent use.
+// Entry is the instance's state of one endpoint; it is safe for concurrent use.
 type Entry struct {
 	ID  carawaycart.EndpointID
 	key rendezvous.Key
 
-	endpoint atomic.Pointer[carawaycart.Endpoint]
-	guarded  atomic.Bool
-	holders  atomic.Pointer[rankedHolders]
-	gate     atomic.Pointer[limit.Gate]
-	since    atomic.Int64 // Unix nanoseconds when the gate was opened
+	endpoint    atomic.Pointer[carawaycart.Endpoint]
+	guarded     atomic.Bool
+	holders     atomic.Pointer[cachedHolders]
+	gate        atomic.Pointer[limit.Gate]
+	keeperSince atomic.Int64 // Unix nanoseconds when the instance became keeper
 
 	mu     sync.Mutex
 	status carawaycart.EndpointStatus
-	digest *atomic.Uint64 // sum of the hashes of all entries' statuses
+	digest *atomic.Uint64 // sum of the hashes of the statuses of all entries, shared by the board
 }
 
-// rankedHolders caches the holders of an endpoint in one view.
-type rankedHolders struct {
+// cachedHolders caches the holders of an endpoint in one view.
+type cachedHolders struct {
 	view    *member.View
 	holders member.Holders
 }
 
+// newEntry returns the entry of endpoint id, whose status hash is part of digest.
 func newEntry(id carawaycart.EndpointID, digest *atomic.Uint64) *Entry {
 	e := &Entry{ID: id, key: rendezvous.NewKey(string(id)), digest: digest}
 	e.status.Endpoint = id
@@ -46,7 +46,8 @@
 // Endpoint returns the configured endpoint, or nil if it was never configured.
 func (e *Entry) Endpoint() *carawaycart.Endpoint { return e.endpoint.Load() }
 
-// Guarded reports whether packets of the endpoint's slots pass through its keeper.
+// Guarded reports whether packets of the slots whose current endpoint this is must
+// pass through its keeper.
 func (e *Entry) Guarded() bool { return e.guarded.Load() }
 
 // Holders returns the holders of the endpoint's state in view v; the result
@@ -57,28 +58,30 @@
 		return &old.holders
 	}
 	if old != nil && v.HoldersUnchanged(old.view, &old.holders, e.key) {
-		e.holders.Store(&rankedHolders{view: v, holders: old.holders})
+		e.holders.Store(&cachedHolders{view: v, holders: old.holders})
 		return &old.holders
 	}
-	c := &rankedHolders{view: v, holders: v.Holders(e.key)}
+	c := &cachedHolders{view: v, holders: v.Holders(e.key)}
 	e.holders.Store(c)
 	return &c.holders
 }
 
-// Gate returns the gate of the endpoint, or nil unless the instance is its keeper.
+// Gate returns the admission gate of the endpoint, or nil if the instance is not
+// its keeper.
 func (e *Entry) Gate() *limit.Gate { return e.gate.Load() }
 
-// OpenGate makes the instance act as keeper from now on with gate g.
+// OpenGate makes the instance act as the endpoint's keeper from now on, with
+// admission gate g.
 func (e *Entry) OpenGate(g *limit.Gate, now time.Time) {
-	e.since.Store(now.UnixNano())
+	e.keeperSince.Store(now.UnixNano())
 	e.gate.Store(g)
 }
 
-// CloseGate ends the instance's duty as keeper.
+// CloseGate makes the instance stop acting as the endpoint's keeper.
 func (e *Entry) CloseGate() { e.gate.Store(nil) }
 
-// KeptSince returns when the instance became keeper.
-func (e *Entry) KeptSince() time.Time { return time.Unix(0, e.since.Load()) }
+// KeptSince returns when the instance last became the endpoint's keeper.
+func (e *Entry) KeptSince() time.Time { return time.Unix(0, e.keeperSince.Load()) }
 
 // Status returns the latest status of the endpoint.
 func (e *Entry) Status() carawaycart.EndpointStatus {
@@ -87,26 +90,28 @@
 	return e.status
 }
 
-// MergeStatus takes in a status and reports whether it is newer than the one
-// held; of two with one version the greater keeper name wins.
+// MergeStatus stores a status if it is newer than the stored one, and reports
+// whether it is. Of two with the same version, that of the greater keeper ID wins.
 func (e *Entry) MergeStatus(s carawaycart.EndpointStatus) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.Version < e.status.Version || s.Version == e.status.Version && s.Keeper <= e.status.Keeper {
 		return false
 	}
-	e.replace(s)
+	e.setStatus(s)
 	return true
 }
 
-// replace sets the status; the caller holds the lock.
-func (e *Entry) replace(s carawaycart.EndpointStatus) {
+// setStatus replaces the status and updates the digest; the caller holds the
+// lock.
+func (e *Entry) setStatus(s carawaycart.EndpointStatus) {
 	e.digest.Add(hashStatus(s) - hashStatus(e.status))
 	e.status = s
 	e.guarded.Store(s.Guarded)
 }
 
-// hashStatus returns a hash of what tells statuses apart, zero for none.
+// hashStatus returns a hash of the endpoint, keeper and version, which identify a
+// status, or zero for version zero.
 func hashStatus(s carawaycart.EndpointStatus) uint64 {
 	if s.Version == 0 {
 		return 0
@@ -118,8 +123,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// State makes a new status under the next version and returns it, or reports
-// false if state and guard are as they were under the same keeper.
+// State stores a status with the next version and returns it and true. If keeper,
+// state and guarded are unchanged, it returns the stored status and false.
 func (e *Entry) State(keeper carawaycart.InstanceID, state carawaycart.EndpointState, guarded bool) (carawaycart.EndpointStatus, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -129,7 +134,7 @@
 	if e.status.Version > 0 && e.status.Keeper == keeper && e.status.State == state && e.status.Guarded == guarded {
 		return e.status, false
 	}
-	e.replace(s)
+	e.setStatus(s)
 	return s, true
 }
 
--- a/core/board/route.go
+++ b/core/board/route.go
@@ -8,20 +8,21 @@
 	"carawaycart/core/slot"
 )
 
-// Slot is one slot with the entries of its endpoints, nil where it has none.
+// Slot is one slot with the entries of its endpoints; an entry is nil if the slot
+// has no such endpoint.
 type Slot struct {
-	Base    *Entry
-	Current *Entry
+	Base    *Entry // receives packets of flows without a record
+	Current *Entry // receives new flows
 }
 
-// Clean reports whether no keeper needs to be asked about the slot's flows.
+// Clean reports whether the slot's flows can be routed without asking a keeper.
 func (s Slot) Clean() bool { return s.Base == s.Current && !s.Base.Guarded() }
 
-// Table is a slot table resolved to entries; it is immutable.
+// Table is a slot table whose members are resolved to entries; it is immutable.
 type Table struct {
-	slots   carawaycart.SlotTable
-	entries []*Entry
-	since   time.Time // when the table arrived
+	slots     carawaycart.SlotTable
+	entries   []*Entry
+	arrivedAt time.Time // when the table arrived
 }
 
 // Len returns the number of slots.
@@ -36,15 +37,17 @@
 }
 
 // Since returns when the table arrived.
-func (t *Table) Since() time.Time { return t.since }
+func (t *Table) Since() time.Time { return t.arrivedAt }
 
-// Entries returns the entries of the endpoints that own or take flows; the
-// slice must not be modified.
+// Entries returns the entries of the endpoints that are the base or current of a
+// slot; the slice must not be modified.
 func (t *Table) Entries() []*Entry { return t.entries }
 
-// Dirty returns how many slots have a base other than their current endpoint.
+// Dirty returns the number of slots whose base differs from their current
+// endpoint.
 func (t *Table) Dirty() int { return slot.Dirty(t.slots) }
 
+// entry returns the entry of member m, or nil for NoMember.
 func (t *Table) entry(m uint16) *Entry {
 	if m == carawaycart.NoMember {
 		return nil
@@ -52,32 +55,32 @@
 	return t.entries[m]
 }
 
-// ServiceRoute is how packets of one service are routed; it is immutable but
-// for the activity of its slots.
+// ServiceRoute is the routing state of one service; it is immutable except for the
+// activity of its slots.
 type ServiceRoute struct {
 	Service carawaycart.Service
 	Profile carawaycart.Profile
-	// Entries are all configured endpoints of the service, in order of ID.
+	// Entries holds the configured endpoints of the service, ordered by ID.
 	Entries []*Entry
 	// Active is the table that packets follow.
 	Active *Table
-	// Recent holds the tables of the last stablePeriod, oldest first; the last
-	// one is the latest.
+	// Recent holds, oldest first, the latest table and each table whose successor
+	// arrived less than stabilityDelay ago.
 	Recent []*Table
 
-	members  []carawaycart.EndpointID // of the service, as configured
-	activity *activity
+	members      []carawaycart.EndpointID // IDs of the configured endpoints of the service
+	baseActivity *baseActivity
 }
 
-// activity holds for each slot when a packet last went to its base without a
-// record, in Unix seconds.
-type activity struct{ seen []atomic.Uint32 }
+// baseActivity holds for each slot when a packet was last sent to its base without
+// a record of its flow, in Unix seconds, or zero if none was.
+type baseActivity struct{ lastBaseUse []atomic.Uint32 }
 
-// Latest returns the table of the latest revision.
+// Latest returns the table of the latest revision received.
 func (r *ServiceRoute) Latest() *Table { return r.Recent[len(r.Recent)-1] }
 
-// Stable reports whether all recent tables agree about the slot of f, and
-// BaseStable whether they agree about its base.
+// Stable reports whether all recent tables agree on the base and current endpoint
+// of the slot of f, and, as baseStable, whether they agree on its base.
 func (r *ServiceRoute) Stable(f carawaycart.Fingerprint) (stable, baseStable bool) {
 	if len(r.Recent) == 1 && r.Active == r.Recent[0] {
 		return true, true
@@ -92,22 +95,23 @@
 	return stable, baseStable
 }
 
-// NoteBase notes that at now a packet of slot i went to its base without a record.
+// NoteBase records that at now a packet of slot i was sent to its base without a
+// record of its flow. It does nothing if the latest table has no dirty slot.
 func (r *ServiceRoute) NoteBase(i carawaycart.SlotIndex, now time.Time) {
-	if r.activity != nil && int(i) < len(r.activity.seen) {
-		r.activity.seen[i].Store(uint32(now.Unix()))
+	if r.baseActivity != nil && int(i) < len(r.baseActivity.lastBaseUse) {
+		r.baseActivity.lastBaseUse[i].Store(uint32(now.Unix()))
 	}
 }
 
-// BaseSeen returns when a packet of slot i last went to its base without a
-// record, or when the table arrived if that is later.
+// BaseSeen returns when a packet of slot i was last sent to its base without a
+// record of its flow, or when the latest table arrived if that is later.
 func (r *ServiceRoute) BaseSeen(i carawaycart.SlotIndex) time.Time {
-	since := r.Latest().since
-	if r.activity == nil || int(i) >= len(r.activity.seen) {
-		return since
+	arrivedAt := r.Latest().arrivedAt
+	if r.baseActivity == nil || int(i) >= len(r.baseActivity.lastBaseUse) {
+		return arrivedAt
 	}
-	if seen := time.Unix(int64(r.activity.seen[i].Load()), 0); seen.After(since) {
-		return seen
+	if lastBaseUse := time.Unix(int64(r.baseActivity.lastBaseUse[i].Load()), 0); lastBaseUse.After(arrivedAt) {
+		return lastBaseUse
 	}
-	return since
+	return arrivedAt
 }
