--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -2,20 +2,20 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Name is the hash of a candidate's name.
+// Name is a candidate, represented by the hash of its name.
 type Name uint64
 
-// Key is the hash of what is to be placed.
+// Key is the hash of a key that is assigned to a candidate.
 type Key uint64
 
-// NewName returns the hash of name.
+// NewName returns the candidate with the given name.
 func NewName(name string) Name { return Name(xxhash.Sum64String(name)) }
 
-// NewKey returns the hash of name.
+// NewKey returns the key with the given name.
 func NewKey(name string) Key { return Key(xxhash.Sum64String(name)) }
 
 // Score returns the weight of candidate n for key k; the highest wins. It mixes
-// the two hashes by the finalizer of SplitMix64, from G. Steele, D. Lea and
+// the two hashes with the finalizer of SplitMix64, from G. Steele, D. Lea and
 // C. Flood, "Fast Splittable Pseudorandom Number Generators", OOPSLA 2014.
 func Score(n Name, k Key) uint64 {
 	const gamma = 0x9e3779b97f4a7c15
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -7,22 +7,23 @@
 	"carawaycart/internal/rendezvous"
 )
 
-// Every candidate wins its share of keys, also of keys that count up.
-func TestScoreSpreadsEvenly(t *testing.T) {
+// Every candidate must win an equal share of the keys to within 8%, even if the
+// keys are consecutive numbers instead of hashes.
+func TestScoreIsUniform(t *testing.T) {
 	const candidates, keys = 16, 32000
 	for _, test := range []struct {
 		name string
 		key  func(i int) rendezvous.Key
 	}{
-		{"counted keys", func(i int) rendezvous.Key { return rendezvous.Key(i) }},
+		{"consecutive keys", func(i int) rendezvous.Key { return rendezvous.Key(i) }},
 		{"hashed keys", func(i int) rendezvous.Key { return rendezvous.NewKey(fmt.Sprint("key-", i)) }},
 	} {
 		wins := make([]int, candidates)
 		for i := range keys {
-			best, high := 0, uint64(0)
+			best, bestScore := 0, uint64(0)
 			for c := range candidates {
-				if s := rendezvous.Score(rendezvous.NewName(fmt.Sprint("candidate-", c)), test.key(i)); s >= high {
-					best, high = c, s
+				if s := rendezvous.Score(rendezvous.NewName(fmt.Sprint("candidate-", c)), test.key(i)); s >= bestScore {
+					best, bestScore = c, s
 				}
 			}
 			wins[best]++
