--- a/internal/routertest/doc.go
+++ b/internal/routertest/doc.go
@@ -1,2 +1,3 @@
-// Package routertest is the conformance suite of carawaycart.Router.
+// Package routertest provides the conformance tests that every implementation of
+// carawaycart.Router must pass.
 package routertest
--- a/internal/routertest/routertest.go
+++ b/internal/routertest/routertest.go
@@ -7,68 +7,73 @@
 	"carawaycart"
 )
 
-// Fleet is a set of instances with their routers, behind a fabric that may hand
+// Fleet is a set of instances with their routers, behind a fabric that may deliver
 // any packet to any of them.
 type Fleet interface {
-	// Instances returns how many instances there are.
+	// Instances returns the number of instances.
 	Instances() int
-	// First opens flow number flow through the given instance, follows a relay,
-	// and returns the decision.
+	// First sends the first packet of flow number flow through the given
+	// instance, follows a relay to another instance, and returns the decision.
 	First(instance, flow int, now time.Time) carawaycart.Decision
-	// Later sends another packet of a flow that First opened with decision d.
+	// Later sends a further packet of a flow that First opened with decision d,
+	// and returns the decision.
 	Later(instance, flow int, d carawaycart.Decision, now time.Time) carawaycart.Decision
-	// Unknown opens a flow to an address that nobody serves.
+	// Unknown sends the first packet of a flow to an address that belongs to no
+	// service, and returns the decision.
 	Unknown(instance int, now time.Time) carawaycart.Decision
-	// Drain marks an endpoint as leaving, as all instances learn.
+	// Drain marks endpoint e as leaving and lets all instances receive the change.
 	Drain(e carawaycart.EndpointID, now time.Time)
-	// Restart loses what an instance knew of its own.
+	// Restart restarts an instance, which loses its local state.
 	Restart(instance int, now time.Time)
 }
 
-const flows = 120
+// flowCount is the number of flows that openFlows opens.
+const flowCount = 120
 
-// Run checks the promises that every router makes. NewFleet returns a fleet of
-// the given sizes whose endpoints are warm.
+// Run runs the conformance tests. The function newFleet returns a fleet of the
+// given numbers of instances and endpoints, whose endpoints are not cold.
 func Run(t *testing.T, newFleet func(t *testing.T, instances, endpoints int) Fleet) {
 	start := time.Unix(1000, 0)
-	t.Run("EveryInstanceKnowsTheOwner", func(t *testing.T) {
+	t.Run("EveryInstanceForwardsToOwner", func(t *testing.T) {
 		f := newFleet(t, 5, 6)
-		check(t, f, open(t, f, start), start.Add(time.Second))
+		checkOwners(t, f, openFlows(t, f, start), start.Add(time.Second))
 	})
 	t.Run("UnknownServiceIsNotForwarded", func(t *testing.T) {
 		f := newFleet(t, 2, 3)
 		for i := range f.Instances() {
 			if d := f.Unknown(i, start); d.Verdict == carawaycart.VerdictForward {
-				t.Errorf("instance %d: got a flow to nobody's address forwarded to %s", i, d.Endpoint)
+				t.Errorf("instance %d: got a flow to the address of no service forwarded to %s", i, d.Endpoint)
 			}
 		}
 	})
-	t.Run("LeavingEndpointKeepsItsFlowsAndGetsNoOthers", func(t *testing.T) {
+	t.Run("LeavingEndpointKeepsFlowsAndGetsNoNewOnes", func(t *testing.T) {
 		f := newFleet(t, 5, 6)
-		owners := open(t, f, start)
-		left := owners[0].Endpoint
+		owners := openFlows(t, f, start)
+		leaving := owners[0].Endpoint
 		now := start.Add(time.Second)
-		f.Drain(left, now)
+		f.Drain(leaving, now)
 		now = now.Add(5 * time.Second)
-		check(t, f, owners, now)
-		for i := range flows {
-			if d := f.First(i%f.Instances(), flows+i, now); d.Endpoint == left {
-				t.Fatalf("flow %d: got a new flow at %s, which is leaving", flows+i, left)
+		checkOwners(t, f, owners, now)
+		for i := range flowCount {
+			if d := f.First(i%f.Instances(), flowCount+i, now); d.Endpoint == leaving {
+				t.Fatalf("flow %d: got a new flow forwarded to %s, which is leaving", flowCount+i, leaving)
 			}
 		}
 	})
-	t.Run("RestartOfAnInstanceLosesNoFlow", func(t *testing.T) {
+	t.Run("InstanceRestartLosesNoFlow", func(t *testing.T) {
 		f := newFleet(t, 5, 6)
-		owners := open(t, f, start)
+		owners := openFlows(t, f, start)
 		now := start.Add(time.Second)
 		f.Restart(0, now)
-		check(t, f, owners, now.Add(time.Second))
+		checkOwners(t, f, owners, now.Add(time.Second))
 	})
 }
 
-func open(t *testing.T, f Fleet, now time.Time) []carawaycart.Decision {
+// openFlows opens flowCount flows, spread over all instances, and returns their
+// decisions, which name their owners.
+func openFlows(t *testing.T, f Fleet, now time.Time) []carawaycart.Decision {
 	t.Helper()
-	owners := make([]carawaycart.Decision, flows)
+	owners := make([]carawaycart.Decision, flowCount)
 	for i := range owners {
 		owners[i] = f.First(i%f.Instances(), i, now)
 		if owners[i].Verdict != carawaycart.VerdictForward {
@@ -78,8 +83,9 @@
 	return owners
 }
 
-// check sends a packet of each flow through every instance.
-func check(t *testing.T, f Fleet, owners []carawaycart.Decision, now time.Time) {
+// checkOwners sends a packet of each flow through every instance and checks that
+// it is forwarded to the owner of the flow.
+func checkOwners(t *testing.T, f Fleet, owners []carawaycart.Decision, now time.Time) {
 	t.Helper()
 	for i, want := range owners {
 		for instance := range f.Instances() {
