--- a/core/directory/roster_test.go
+++ b/core/directory/roster_test.go
@@ -140,7 +140,7 @@
 
 // An instance that has just started does not know the lifetimes that ended
 // before, though packets of their flows still arrive; it learns them from peers.
-func TestRememberRecordsEndedLifetimesOfPeers(t *testing.T) {
+func TestEndedLifetimesOfPeersAreRecorded(t *testing.T) {
 	one, two := lifetime("i-1", 1, "10.0.0.1:80"), lifetime("i-2", 1, "10.0.0.2:80")
 	running := directory.NewRoster()
 	running.Update(contents(one, two), start)
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -26,7 +26,7 @@
 	mu      sync.Mutex
 	self    carawaycart.Member
 	entries map[carawaycart.InstanceID]*entry
-	pending []carawaycart.Member // updates since the last call of TakeNews
+	pending []carawaycart.Member // updates to be disseminated
 }
 
 // entry is the latest update about an instance, with its deadline if any.
