--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -9,22 +9,22 @@
 	"carawaycart/io/fabric"
 )
 
-// Counters are the metrics of one instance; they are safe for concurrent use.
+// Counters holds the metrics of one instance. It is safe for concurrent use.
 type Counters struct {
 	Registry metrics.Registry
 
 	PacketsForwarded metrics.Counter
 	PacketsRelayed   metrics.Counter
 	FlowsRecorded    metrics.Counter
-	RecordsLost      metrics.Counter // copies that a replica did not take
+	RecordsLost      metrics.Counter // copies that a replica did not receive
 	StoreCalls       metrics.Counter
-	ControlBytes     metrics.Counter // sent to peers to keep the fleet's state
+	ControlBytes     metrics.Counter // sent to peers to maintain the fleet's state
 	RequestBytes     metrics.Counter // sent to peers on behalf of requests
 	ProbesFailed     metrics.Counter
 	ChangesApplied   metrics.Counter
 	ChangesRefused   metrics.Counter
-	MessagesRefused  metrics.Counter // from peers, malformed
-	Rejoins          metrics.Counter // pauses after which state was fetched anew
+	MessagesRefused  metrics.Counter // malformed messages from peers
+	Rejoins          metrics.Counter // pauses after which the instance rejoined the fleet
 
 	RequestsAnswered  metrics.Counter
 	RequestsNotRun    metrics.Counter
@@ -33,7 +33,7 @@
 	RequestsMalformed metrics.Counter
 	RequestsRetried   metrics.Counter
 
-	EndpointsSilent metrics.Gauge // alarm: kept endpoints that stopped reporting
+	EndpointsSilent metrics.Gauge // alarm: endpoints of this keeper that stopped reporting
 	EndpointsCold   metrics.Gauge
 	EndpointsDead   metrics.Gauge
 	EndpointsKept   metrics.Gauge
@@ -51,7 +51,7 @@
 	byCause map[string]metrics.Counter
 }
 
-// New returns counters at zero in a registry of their own.
+// New returns Counters at zero with a registry of their own.
 func New() *Counters {
 	r := metrics.NewRegistry()
 	counter := func(name string) metrics.Counter { return metrics.NewRegisteredCounter(name, r) }
@@ -106,33 +106,33 @@
 // Fault counts a datagram that could not be decoded.
 func (c *Counters) Fault(f fabric.Fault) { c.faults[f].Inc(1) }
 
-// requestCalls are the peer calls that serve single requests.
+// requestCalls are the peer methods that are called for single requests.
 var requestCalls = map[string]bool{
 	"Peer.Begin": true, "Peer.Finish": true, "Peer.Copy": true, "Peer.Acquire": true, "Peer.Release": true,
 }
 
-// Sent counts bytes sent to a peer for a call of method.
+// Sent counts bytes sent to a peer in a call of method.
 func (c *Counters) Sent(method string, bytes int) {
 	if requestCalls[method] {
 		c.RequestBytes.Inc(int64(bytes))
 	} else {
 		c.ControlBytes.Inc(int64(bytes))
 	}
-	c.call(method).Inc(int64(bytes))
+	c.peerBytes(method).Inc(int64(bytes))
 }
 
-func (c *Counters) call(method string) metrics.Counter {
-	return c.named(c.byCall, "peerBytes.", method)
+func (c *Counters) peerBytes(method string) metrics.Counter {
+	return c.registeredCounter(c.byCall, "peerBytes.", method)
 }
 
-// RequestCause counts a request that the balancer answered itself for cause.
+// RequestCause counts a request that the balancer answered itself, by cause.
 func (c *Counters) RequestCause(cause string) {
-	c.named(c.byCause, "requestsByCause.", cause).Inc(1)
+	c.registeredCounter(c.byCause, "requestsByCause.", cause).Inc(1)
 }
 
-// named returns the counter of name in counters, registered at its first use
-// under prefix and name.
-func (c *Counters) named(counters map[string]metrics.Counter, prefix, name string) metrics.Counter {
+// registeredCounter returns the counter of name in counters. At first use it
+// registers the counter as prefix followed by name.
+func (c *Counters) registeredCounter(counters map[string]metrics.Counter, prefix, name string) metrics.Counter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := counters[name]
--- a/internal/counters/doc.go
+++ b/internal/counters/doc.go
@@ -1,4 +1,4 @@
-// Package counters holds the metrics of one instance. Counters are named in
-// camel case and grouped by what they count; every dropped packet and refused
-// request is counted by its cause.
+// Package counters holds the metrics of one instance. Metrics are named in
+// camel case and grouped by what they count; every dropped packet and every
+// refused request is counted by cause.
 package counters
