--- a/core/claim/doc.go
+++ b/core/claim/doc.go
@@ -1,10 +1,11 @@
-// Package claim keeps the claims on keyed requests, so that an order runs at
-// most once however often and through whichever instance it is repeated.
+// Package claim stores claims, the records of keyed requests. A keyed request is a
+// request with an idempotency key; with its claim it is run at most once, however
+// often it is retried and through whichever instance.
 //
-// A claim is made at the keeper of its key before the request is sent to an
-// endpoint, and the keeper copies it to replicas before it lets the request go.
-// A Table is the part of one instance. It answers a repeat from what it holds;
-// it lets a request run only if it can know that no earlier attempt did. Where
-// all holders of a key were lost before they could be replaced, it reports
-// uncertainty for as long as a lost claim could have lived.
+// A claim is recorded at the keeper of its key before the request is sent to an
+// endpoint, and the keeper copies it to replicas before it admits the request.
+// A Table holds the claims of one instance. It answers a retry from the claim of
+// the earlier attempt, and admits a request only if no earlier attempt can have
+// run. If all holders of a key failed before they could be replaced, it answers
+// Uncertain until a lost claim would have expired.
 package claim
--- a/core/claim/table.go
+++ b/core/claim/table.go
@@ -13,25 +13,25 @@
 
 const shards = 32
 
-// Verdict is the keeper's answer to an attempt.
+// Verdict is the keeper's answer to an attempt at a keyed request.
 type Verdict uint8
 
 // The verdicts on an attempt.
 const (
-	Refused   Verdict = iota // certainly not run; the keeper cannot take the claim now
-	Run                      // the attempt may go on
-	Known                    // an earlier attempt exists and is returned
-	Misused                  // the key belongs to another request
-	Uncertain                // an earlier attempt may have been lost
+	Refused   Verdict = iota // the request was not run; the keeper cannot record the claim now
+	Run                      // the attempt may be run
+	Known                    // the claim of an earlier attempt exists and is returned
+	Misused                  // the key was used for a different request
+	Uncertain                // the claim of an earlier attempt may have been lost
 )
 
-// Table holds the claims of one instance in shards; it is safe for concurrent
-// use.
+// Table is the sharded map of the claims of one instance by idempotency key. It is
+// safe for concurrent use.
 type Table struct {
 	shards [shards]shard
 
-	mu   sync.Mutex
-	gaps []gap
+	mu     sync.Mutex
+	losses []loss
 }
 
 type shard struct {
@@ -39,11 +39,12 @@
 	claims map[carawaycart.IdempotencyKey]carawaycart.Claim
 }
 
-// gap is a loss of instances so quick that claims may have gone with them.
-type gap struct {
-	before *member.View
+// loss is a loss of several instances before their claims were replicated again.
+// Claims of which all holders are among them are lost.
+type loss struct {
+	before *member.View // members before the loss
 	lost   map[carawaycart.InstanceID]struct{}
-	until  time.Time
+	until  time.Time // when the last of the lost claims has expired
 }
 
 // NewTable returns an empty table.
@@ -55,33 +56,35 @@
 	return t
 }
 
-// Key returns the rendezvous key of an idempotency key.
+// Key returns the rendezvous key of idempotency key k, which selects the holders
+// of its claim.
 func Key(k carawaycart.IdempotencyKey) rendezvous.Key { return rendezvous.NewKey(string(k)) }
 
 func (t *Table) shard(k carawaycart.IdempotencyKey) *shard {
 	return &t.shards[xxhash.Sum64String(string(k))%shards]
 }
 
-// Begin takes in the attempt c at its keeper at now. With Run the claim is held
-// as pending; with Known the claim held is returned. An attempt that was given up
-// is refused for ever.
+// Begin records attempt c at the keeper of its key at now. With Run, the claim is
+// stored as pending and returned. With Known, the stored claim of an earlier
+// attempt is returned. An attempt that was abandoned as not run is never admitted
+// again before its deadline.
 func (t *Table) Begin(c carawaycart.Claim, now time.Time) (Verdict, carawaycart.Claim) {
 	s := t.shard(c.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, ok := s.claims[c.Key]
-	if ok && now.Before(old.Deadline) {
-		if old.Digest != c.Digest || old.Service != c.Service {
+	held, ok := s.claims[c.Key]
+	if ok && now.Before(held.Deadline) {
+		if held.Digest != c.Digest || held.Service != c.Service {
 			return Misused, carawaycart.Claim{}
 		}
-		if old.Attempt == c.Attempt && old.State == carawaycart.ClaimPending {
-			return Run, old
+		if held.Attempt == c.Attempt && held.State == carawaycart.ClaimPending {
+			return Run, held
 		}
-		if old.State != carawaycart.ClaimNotRun {
-			return Known, old
+		if held.State != carawaycart.ClaimNotRun {
+			return Known, held
 		}
-		if old.Attempt == c.Attempt {
-			// Replicas may yet be told that this attempt is not run.
+		if held.Attempt == c.Attempt {
+			// Replicas may still receive the update that this attempt is not run.
 			return Refused, carawaycart.Claim{}
 		}
 	} else if t.uncertain(c.Key, now) {
@@ -92,19 +95,19 @@
 	return Run, c
 }
 
-// Merge takes in a claim from another instance at now. It returns the claim
-// held and true if that one belongs to another attempt and stands in the way.
+// Merge merges a claim from another instance at now. If a claim of another attempt
+// conflicts with c, Merge leaves it in place and returns it and true.
 func (t *Table) Merge(c carawaycart.Claim, now time.Time) (carawaycart.Claim, bool) {
 	s := t.shard(c.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, ok := s.claims[c.Key]
-	if !ok || !now.Before(old.Deadline) || old.State == carawaycart.ClaimNotRun {
+	held, ok := s.claims[c.Key]
+	if !ok || !now.Before(held.Deadline) || held.State == carawaycart.ClaimNotRun {
 		s.claims[c.Key] = c
 		return carawaycart.Claim{}, false
 	}
-	if old.Attempt == c.Attempt {
-		if precedence(c.State) > precedence(old.State) {
+	if held.Attempt == c.Attempt {
+		if precedence(c.State) > precedence(held.State) {
 			s.claims[c.Key] = c
 		}
 		return carawaycart.Claim{}, false
@@ -112,10 +115,11 @@
 	if c.State == carawaycart.ClaimNotRun {
 		return carawaycart.Claim{}, false
 	}
-	return old, true
+	return held, true
 }
 
-// precedence orders the states of one attempt by how much they tell.
+// precedence returns the rank of a state among those of one attempt. Merge replaces
+// a state only by one of higher rank, which says more about the outcome.
 func precedence(s carawaycart.ClaimState) int {
 	switch s {
 	case carawaycart.ClaimPending:
@@ -128,7 +132,8 @@
 	return 3
 }
 
-// Get returns the claim held for k at now.
+// Get returns the claim stored for k. It returns false if there is none or if it
+// has expired at now.
 func (t *Table) Get(k carawaycart.IdempotencyKey, now time.Time) (carawaycart.Claim, bool) {
 	s := t.shard(k)
 	s.mu.Lock()
@@ -140,7 +145,8 @@
 	return c, true
 }
 
-// Append appends to dst the claims that keep accepts and returns it.
+// Append appends to dst the claims for which keep is true, and returns the extended
+// slice.
 func (t *Table) Append(dst []carawaycart.Claim, keep func(*carawaycart.Claim) bool) []carawaycart.Claim {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -155,14 +161,15 @@
 	return dst
 }
 
-// Abandon turns the pending attempts of instances for which gone is true into
-// unknown ones: such an instance may have sent its request before it failed.
-func (t *Table) Abandon(gone func(carawaycart.InstanceID) bool) {
+// Abandon sets the pending claims of the entry instances for which failed is true
+// to unknown, because such an instance may have sent the request to an endpoint
+// before it failed.
+func (t *Table) Abandon(failed func(carawaycart.InstanceID) bool) {
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
 		for k, c := range s.claims {
-			if c.State == carawaycart.ClaimPending && gone(c.Entry) {
+			if c.State == carawaycart.ClaimPending && failed(c.Entry) {
 				c.State = carawaycart.ClaimUnknown
 				s.claims[k] = c
 			}
@@ -171,7 +178,7 @@
 	}
 }
 
-// Expire forgets the claims and gaps whose deadline has passed at now.
+// Expire deletes the claims and recorded losses whose deadline has passed at now.
 func (t *Table) Expire(now time.Time) {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -185,16 +192,17 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	kept := t.gaps[:0]
-	for _, g := range t.gaps {
-		if now.Before(g.until) {
-			kept = append(kept, g)
+	remaining := t.losses[:0]
+	for _, l := range t.losses {
+		if now.Before(l.until) {
+			remaining = append(remaining, l)
 		}
 	}
-	t.gaps = kept
+	t.losses = remaining
 }
 
-// Len returns the number of claims.
+// Len returns the number of claims, including expired ones that Expire has not
+// deleted yet.
 func (t *Table) Len() int {
 	n := 0
 	for i := range t.shards {
@@ -206,36 +214,37 @@
 	return n
 }
 
-// NoteLoss notes that the instances lost went out of view before together; the
-// keys that they alone held are uncertain until the deadline.
+// NoteLoss records that the lost instances, members of the view before, failed
+// together. Begin answers Uncertain for the keys of which all holders were lost,
+// until the given time.
 func (t *Table) NoteLoss(before *member.View, lost []carawaycart.InstanceID, until time.Time) {
-	g := gap{before: before, lost: make(map[carawaycart.InstanceID]struct{}, len(lost)), until: until}
+	l := loss{before: before, lost: make(map[carawaycart.InstanceID]struct{}, len(lost)), until: until}
 	for _, id := range lost {
-		g.lost[id] = struct{}{}
+		l.lost[id] = struct{}{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.gaps = append(t.gaps, g)
+	t.losses = append(t.losses, l)
 }
 
 func (t *Table) uncertain(k carawaycart.IdempotencyKey, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, g := range t.gaps {
-		if now.Before(g.until) && g.covers(k) {
+	for _, l := range t.losses {
+		if now.Before(l.until) && l.covers(k) {
 			return true
 		}
 	}
 	return false
 }
 
-func (g *gap) covers(k carawaycart.IdempotencyKey) bool {
-	h := g.before.Holders(Key(k))
-	if _, ok := g.lost[h.Keeper]; !ok {
+func (l *loss) covers(k carawaycart.IdempotencyKey) bool {
+	h := l.before.Holders(Key(k))
+	if _, ok := l.lost[h.Keeper]; !ok {
 		return false
 	}
 	for _, id := range h.Replicas[:h.Count] {
-		if _, ok := g.lost[id]; !ok {
+		if _, ok := l.lost[id]; !ok {
 			return false
 		}
 	}
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func in(c carawaycart.Claim, s carawaycart.ClaimState) carawaycart.Claim {
+func withState(c carawaycart.Claim, s carawaycart.ClaimState) carawaycart.Claim {
 	c.State = s
 	return c
 }
@@ -35,14 +35,14 @@
 		want  claim.Verdict
 	}{
 		{"first attempt", nil, attempt("a"), 0, claim.Run},
-		{"same attempt again", []carawaycart.Claim{in(attempt("a"), carawaycart.ClaimPending)}, attempt("a"), 0, claim.Run},
-		{"earlier attempt under way", []carawaycart.Claim{in(attempt("a"), carawaycart.ClaimPending)}, attempt("b"), 0, claim.Known},
-		{"earlier attempt answered", []carawaycart.Claim{in(attempt("a"), carawaycart.ClaimAnswered)}, attempt("b"), 0, claim.Known},
-		{"earlier attempt unknown", []carawaycart.Claim{in(attempt("a"), carawaycart.ClaimUnknown)}, attempt("b"), 0, claim.Known},
-		{"earlier attempt not run", []carawaycart.Claim{in(attempt("a"), carawaycart.ClaimNotRun)}, attempt("b"), 0, claim.Run},
-		{"an attempt that was given up", []carawaycart.Claim{in(attempt("a"), carawaycart.ClaimNotRun)}, attempt("a"), 0, claim.Refused},
-		{"key of another request", []carawaycart.Claim{in(attempt("a"), carawaycart.ClaimAnswered)}, other, 0, claim.Misused},
-		{"claim past its deadline", []carawaycart.Claim{in(attempt("a"), carawaycart.ClaimAnswered)}, attempt("b"), time.Hour, claim.Run},
+		{"same attempt again", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimPending)}, attempt("a"), 0, claim.Run},
+		{"earlier attempt pending", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimPending)}, attempt("b"), 0, claim.Known},
+		{"earlier attempt answered", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimAnswered)}, attempt("b"), 0, claim.Known},
+		{"earlier attempt unknown", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimUnknown)}, attempt("b"), 0, claim.Known},
+		{"earlier attempt not run", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimNotRun)}, attempt("b"), 0, claim.Run},
+		{"repeat of an abandoned attempt", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimNotRun)}, attempt("a"), 0, claim.Refused},
+		{"key of a different request", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimAnswered)}, other, 0, claim.Misused},
+		{"claim past its deadline", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimAnswered)}, attempt("b"), time.Hour, claim.Run},
 	} {
 		table := claim.NewTable()
 		for _, c := range test.held {
@@ -54,8 +54,9 @@
 	}
 }
 
-// A copy for another attempt is never lost silently: either it finds the way
-// free or it learns of the claim in its way.
+// Guards against a request that runs twice because a replica silently discarded
+// the claim of one attempt in favour of another: Merge must store the claim or
+// report the conflict.
 func TestMergeConflicts(t *testing.T) {
 	states := []carawaycart.ClaimState{
 		carawaycart.ClaimPending, carawaycart.ClaimAnswered, carawaycart.ClaimNotRun, carawaycart.ClaimUnknown,
@@ -63,28 +64,29 @@
 	for _, held := range states {
 		for _, next := range states {
 			table := claim.NewTable()
-			table.Merge(in(attempt("a"), held), start)
-			_, conflict := table.Merge(in(attempt("b"), next), start)
+			table.Merge(withState(attempt("a"), held), start)
+			_, conflict := table.Merge(withState(attempt("b"), next), start)
 			want := held != carawaycart.ClaimNotRun && next != carawaycart.ClaimNotRun
 			if conflict != want {
 				t.Errorf("held %d, copy %d: got conflict %t, want %t", held, next, conflict, want)
 			}
 			got, _ := table.Get("k", start)
 			if conflict && got.Attempt != "a" {
-				t.Errorf("held %d, copy %d: the claim held was replaced", held, next)
+				t.Errorf("held %d, copy %d: the stored claim was replaced", held, next)
 			}
 		}
 	}
 }
 
-// An attempt's states only ever move towards knowing more.
+// Guards against a known outcome that is overwritten by an update that arrives
+// late: the state of an attempt only changes to one of higher precedence.
 func TestMergeOfOneAttemptIsMonotonic(t *testing.T) {
 	table := claim.NewTable()
-	answered := in(attempt("a"), carawaycart.ClaimAnswered)
+	answered := withState(attempt("a"), carawaycart.ClaimAnswered)
 	answered.Answer = carawaycart.Answer{Status: 200, Body: []byte("done")}
 	for _, c := range []carawaycart.Claim{
-		in(attempt("a"), carawaycart.ClaimPending), answered,
-		in(attempt("a"), carawaycart.ClaimPending), in(attempt("a"), carawaycart.ClaimUnknown),
+		withState(attempt("a"), carawaycart.ClaimPending), answered,
+		withState(attempt("a"), carawaycart.ClaimPending), withState(attempt("a"), carawaycart.ClaimUnknown),
 	} {
 		table.Merge(c, start)
 	}
@@ -99,7 +101,7 @@
 	table.Abandon(func(id carawaycart.InstanceID) bool { return id == "i1" })
 	verdict, held := table.Begin(attempt("b"), start)
 	if verdict != claim.Known || held.State != carawaycart.ClaimUnknown {
-		t.Errorf("got verdict %d with state %d, want a known attempt of unknown end", verdict, held.State)
+		t.Errorf("got verdict %d with state %d, want a known attempt with unknown outcome", verdict, held.State)
 	}
 }
 
@@ -114,7 +116,8 @@
 	return member.NewView(all, func(carawaycart.ZoneID) member.Duty { return member.DutyFull })
 }
 
-// A key all of whose holders were lost together may have been run before.
+// Guards against running a request twice after all holders of its claim failed
+// together: its key must be uncertain until the lost claim has expired.
 func TestLostHoldersMakeKeysUncertain(t *testing.T) {
 	before := view("a1", "a2", "b1", "b2", "c1", "c2")
 	lost := []carawaycart.InstanceID{"a1", "b1", "c1"}
@@ -125,12 +128,12 @@
 		c := attempt("a")
 		c.Key = carawaycart.IdempotencyKey(fmt.Sprintf("key-%d", i))
 		h := before.Holders(claim.Key(c.Key))
-		gone := true
+		allLost := true
 		for _, id := range append([]carawaycart.InstanceID{h.Keeper}, h.Replicas[:h.Count]...) {
-			gone = gone && (id == "a1" || id == "b1" || id == "c1")
+			allLost = allLost && (id == "a1" || id == "b1" || id == "c1")
 		}
 		want := claim.Run
-		if gone {
+		if allLost {
 			want = claim.Uncertain
 			uncertain++
 		}
@@ -139,7 +142,7 @@
 		}
 	}
 	if uncertain == 0 || uncertain == 500 {
-		t.Errorf("got %d of 500 keys uncertain, which tests nothing", uncertain)
+		t.Errorf("got %d of 500 keys uncertain, want some but not all", uncertain)
 	}
 	table.Expire(start.Add(time.Minute))
 	if got, _ := table.Begin(attempt("z"), start.Add(time.Minute)); got != claim.Run {
