--- a/core/config/apply.go
+++ b/core/config/apply.go
@@ -289,7 +289,7 @@
 	}
 	own(&c.Slots, &c.work.slots)
 	for _, m := range s.Moves {
-		t = slot.Settle(t, m.Base, m.Current, m.Slots)
+		t = slot.ReplaceBase(t, m.Base, m.Current, m.Slots)
 	}
 	c.Slots[id] = t
 	return nil
--- a/core/slot/doc.go
+++ b/core/slot/doc.go
@@ -1,13 +1,15 @@
 // Package slot assigns the slots of a service to its endpoints.
 //
-// A service's flows hash to a fixed number of slots, a power of two. Every slot
-// has a base endpoint, which owns the flows that nobody recorded, and a current
-// endpoint, which takes new flows. A slot is clean when both are the same.
+// The flows of a service are hashed to slots, whose number is a power of two.
+// Every slot has a base endpoint, which owns the flows without a record, and a
+// current endpoint, which receives new flows. A slot is clean if both are the
+// same, and dirty otherwise.
 //
 // Assignment is a pure function of the previous table and the candidates, so
-// instances that apply the same changes in the same order hold the same table
-// without exchanging it. Each candidate receives a number of slots in proportion
-// to its weight, to within one slot, and a change moves no more slots than those
-// quotas require; among the candidates that have room, a slot goes to the one
-// that scores highest by rendezvous hashing.
+// instances that apply the same changes in the same order compute the same table
+// without exchanging it. The quota of each candidate is proportional to its
+// weight, to within one slot. A change reassigns only as many slots as the quotas
+// require. Each of them is assigned to its base if that has quota left, and
+// otherwise to the candidate with quota left that has the highest rendezvous
+// score.
 package slot
--- a/core/slot/table.go
+++ b/core/slot/table.go
@@ -9,18 +9,21 @@
 )
 
 const (
-	minSlots         = 64
-	maxSlots         = 1 << 15
-	slotsPerEndpoint = 64 // an uneven share then costs an endpoint at most 1/64 of its load
+	minSlots = 64
+	maxSlots = 1 << 15
+
+	// With 64 slots, rounding a share changes the load of an endpoint by at most
+	// 1/64.
+	slotsPerEndpoint = 64
 )
 
-// Candidate is an endpoint that may take new flows.
+// Candidate is an endpoint that may receive new flows.
 type Candidate struct {
 	ID     carawaycart.EndpointID
-	Weight int // share relative to the other candidates; must be positive
+	Weight int // relative share of slots; must be positive
 }
 
-// Count returns the number of slots for a service of n endpoints.
+// Count returns the number of slots of a service with n endpoints.
 func Count(n int) int {
 	count := minSlots
 	for count < n*slotsPerEndpoint && count < maxSlots {
@@ -55,8 +58,8 @@
 	}
 }
 
-// Grow returns t with at least count slots; each old slot is split evenly, so
-// that every flow keeps its base and current endpoints.
+// Grow returns t doubled until it has at least count slots. Every flow keeps its
+// base and current endpoints. The result may share memory with t.
 func Grow(t carawaycart.SlotTable, count int) carawaycart.SlotTable {
 	for len(t.Base) < count {
 		t.Base = append(t.Base, t.Base...)
@@ -66,13 +69,13 @@
 }
 
 // Reassign returns a table whose current endpoints are the candidates, each
-// within one slot of its weighted share. Bases stay, except that a slot without
-// a base takes its current endpoint. There must be at least one candidate. The
-// table t is not modified.
+// within one slot of its weighted share. Bases are unchanged, except that a slot
+// without a base gets its current endpoint as base. There must be at least one
+// candidate. The table t is not modified.
 func Reassign(t carawaycart.SlotTable, candidates []Candidate) carawaycart.SlotTable {
 	r := newReassignment(t, candidates)
-	r.keep()
-	r.place()
+	r.retainCurrent()
+	r.assignFree()
 	for i, b := range r.table.Base {
 		if b == carawaycart.NoMember {
 			r.table.Base[i] = r.table.Current[i]
@@ -81,42 +84,42 @@
 	return compact(r.table)
 }
 
-// Rebase returns a table in which every slot whose base is gone(ID) takes its
-// current endpoint as base. The table t is not modified.
-func Rebase(t carawaycart.SlotTable, gone func(carawaycart.EndpointID) bool) carawaycart.SlotTable {
+// Rebase returns a table in which the base of every slot for which removed(base)
+// is true is replaced by the current endpoint. The table t is not modified.
+func Rebase(t carawaycart.SlotTable, removed func(carawaycart.EndpointID) bool) carawaycart.SlotTable {
 	t = Clone(t)
 	for i, b := range t.Base {
-		if b != carawaycart.NoMember && gone(t.Members[b]) {
+		if b != carawaycart.NoMember && removed(t.Members[b]) {
 			t.Base[i] = t.Current[i]
 		}
 	}
 	return compact(t)
 }
 
-// Retain returns a table in which every slot keeps those of its endpoints for
-// which holding is true; a slot that keeps one of the two has it as both, and one
-// that keeps none has no endpoint. The table t is not modified.
-func Retain(t carawaycart.SlotTable, holding func(carawaycart.EndpointID) bool) carawaycart.SlotTable {
+// Retain returns a table without the endpoints for which retained is false. A slot
+// that loses one of its two endpoints gets the other one as base and current; a
+// slot that loses both has no endpoint. The table t is not modified.
+func Retain(t carawaycart.SlotTable, retained func(carawaycart.EndpointID) bool) carawaycart.SlotTable {
 	t = Clone(t)
-	holds := func(m uint16) bool { return m != carawaycart.NoMember && holding(t.Members[m]) }
+	keeps := func(m uint16) bool { return m != carawaycart.NoMember && retained(t.Members[m]) }
 	for i := range t.Base {
-		if !holds(t.Current[i]) {
+		if !keeps(t.Current[i]) {
 			t.Current[i] = t.Base[i]
 		}
-		if !holds(t.Current[i]) {
+		if !keeps(t.Current[i]) {
 			t.Current[i] = carawaycart.NoMember
 		}
-		if !holds(t.Base[i]) {
+		if !keeps(t.Base[i]) {
 			t.Base[i] = t.Current[i]
 		}
 	}
 	return compact(t)
 }
 
-// Settle returns a table in which the given slots take their current endpoint
-// as base, as far as their base and current endpoints are still the stated
-// ones. The table t is not modified; indices out of range are ignored.
-func Settle(t carawaycart.SlotTable, base, current carawaycart.EndpointID, slots []carawaycart.SlotIndex) carawaycart.SlotTable {
+// ReplaceBase returns a table in which the base of the given slots is replaced by
+// their current endpoint. Slots whose base and current endpoints differ from the
+// arguments, and indices out of range, are ignored. The table t is not modified.
+func ReplaceBase(t carawaycart.SlotTable, base, current carawaycart.EndpointID, slots []carawaycart.SlotIndex) carawaycart.SlotTable {
 	t = Clone(t)
 	b := slices.Index(t.Members, base)
 	c := slices.Index(t.Members, current)
@@ -131,7 +134,7 @@
 	return compact(t)
 }
 
-// Dirty returns how many slots of t have a base other than their current endpoint.
+// Dirty returns the number of slots of t whose base is not their current endpoint.
 func Dirty(t carawaycart.SlotTable) int {
 	n := 0
 	for i := range t.Base {
@@ -142,7 +145,7 @@
 	return n
 }
 
-// compact drops members that no slot refers to.
+// compact removes the members that no slot refers to. It renumbers t in place.
 func compact(t carawaycart.SlotTable) carawaycart.SlotTable {
 	used := make([]bool, len(t.Members))
 	for i := range t.Base {
@@ -180,18 +183,18 @@
 
 // reassignment is the working state of Reassign.
 type reassignment struct {
-	table carawaycart.SlotTable
-	index []uint16          // member index of each candidate
-	name  []rendezvous.Name // hash of each candidate
-	quota []int             // slots each candidate may still take
-	owner map[uint16]int    // candidate of each member index
+	table     carawaycart.SlotTable
+	member    []uint16          // member index of each candidate
+	hash      []rendezvous.Name // hash of each candidate
+	remaining []int             // slots still to be assigned to each candidate
+	candidate map[uint16]int    // candidate with each member index
 }
 
 func newReassignment(t carawaycart.SlotTable, candidates []Candidate) *reassignment {
-	r := &reassignment{table: Clone(t), owner: make(map[uint16]int, len(candidates))}
+	r := &reassignment{table: Clone(t), candidate: make(map[uint16]int, len(candidates))}
 	sorted := slices.Clone(candidates)
 	slices.SortFunc(sorted, func(a, b Candidate) int { return cmp.Compare(a.ID, b.ID) })
-	r.quota = quotas(len(t.Base), sorted)
+	r.remaining = quotas(len(t.Base), sorted)
 	known := make(map[carawaycart.EndpointID]uint16, len(t.Members))
 	for i, m := range t.Members {
 		known[m] = uint16(i)
@@ -202,39 +205,40 @@
 			m = uint16(len(r.table.Members))
 			r.table.Members = append(r.table.Members, c.ID)
 		}
-		r.index = append(r.index, m)
-		r.name = append(r.name, rendezvous.NewName(string(c.ID)))
-		r.owner[m] = i
+		r.member = append(r.member, m)
+		r.hash = append(r.hash, rendezvous.NewName(string(c.ID)))
+		r.candidate[m] = i
 	}
 	return r
 }
 
-// keep lets candidates hold on to their slots up to their quota: clean slots
-// before dirty ones, then those they score highest for.
-func (r *reassignment) keep() {
-	held := make([][]int, len(r.index))
+// retainCurrent leaves to each candidate the slots that it has, up to its quota:
+// clean slots before dirty ones, then those with the highest rendezvous score. It
+// frees all other slots.
+func (r *reassignment) retainCurrent() {
+	held := make([][]int, len(r.member))
 	for s, m := range r.table.Current {
-		if c, ok := r.owner[m]; ok {
+		if c, ok := r.candidate[m]; ok {
 			held[c] = append(held[c], s)
 		}
 		r.table.Current[s] = carawaycart.NoMember
 	}
 	for c, slots := range held {
-		m := r.index[c]
+		m := r.member[c]
 		slices.SortFunc(slots, func(a, b int) int {
-			if d := r.dirt(a, m) - r.dirt(b, m); d != 0 {
+			if d := r.dirtyRank(a, m) - r.dirtyRank(b, m); d != 0 {
 				return d
 			}
 			return cmp.Compare(r.score(c, b), r.score(c, a))
 		})
-		for _, s := range slots[:min(len(slots), r.quota[c])] {
+		for _, s := range slots[:min(len(slots), r.remaining[c])] {
 			r.table.Current[s] = m
-			r.quota[c]--
+			r.remaining[c]--
 		}
 	}
 }
 
-func (r *reassignment) dirt(s int, m uint16) int {
+func (r *reassignment) dirtyRank(s int, m uint16) int {
 	if r.table.Base[s] == m {
 		return 0
 	}
@@ -242,41 +246,42 @@
 }
 
 func (r *reassignment) score(c, s int) uint64 {
-	return rendezvous.Score(r.name[c], rendezvous.Key(s))
+	return rendezvous.Score(r.hash[c], rendezvous.Key(s))
 }
 
-// place gives each free slot to its base if that has room, else to the
-// candidate with room that scores highest.
-func (r *reassignment) place() {
+// assignFree assigns each free slot to its base if that is a candidate with quota
+// left, and otherwise to the candidate with quota left that has the highest
+// rendezvous score.
+func (r *reassignment) assignFree() {
 	for s, m := range r.table.Current {
 		if m != carawaycart.NoMember {
 			continue
 		}
-		c, ok := r.owner[r.table.Base[s]]
-		if !ok || r.quota[c] <= 0 {
-			c = r.highest(s)
+		c, ok := r.candidate[r.table.Base[s]]
+		if !ok || r.remaining[c] <= 0 {
+			c = r.bestCandidate(s)
 		}
-		r.table.Current[s] = r.index[c]
-		r.quota[c]--
+		r.table.Current[s] = r.member[c]
+		r.remaining[c]--
 	}
 }
 
-func (r *reassignment) highest(s int) int {
+func (r *reassignment) bestCandidate(s int) int {
 	best, found := 0, false
-	var high uint64
-	for c := range r.index {
-		if r.quota[c] <= 0 {
+	var bestScore uint64
+	for c := range r.member {
+		if r.remaining[c] <= 0 {
 			continue
 		}
-		if sc := r.score(c, s); !found || sc > high {
-			best, high, found = c, sc, true
+		if sc := r.score(c, s); !found || sc > bestScore {
+			best, bestScore, found = c, sc, true
 		}
 	}
 	return best
 }
 
-// quotas divides n slots in proportion to the candidates' weights by the
-// largest remainder; they sum to n unless there is no candidate.
+// quotas divides n slots in proportion to the candidates' weights by the largest
+// remainder method. The quotas sum to n, or to zero if the total weight is zero.
 func quotas(n int, candidates []Candidate) []int {
 	total := 0
 	for _, c := range candidates {
@@ -287,16 +292,16 @@
 		return quota
 	}
 	order := make([]int, len(candidates))
-	left := n
+	unassigned := n
 	for i, c := range candidates {
 		order[i] = i
 		quota[i] = n * c.Weight / total
-		left -= quota[i]
+		unassigned -= quota[i]
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
 		return cmp.Compare(n*candidates[b].Weight%total, n*candidates[a].Weight%total)
 	})
-	for _, i := range order[:left] {
+	for _, i := range order[:unassigned] {
 		quota[i]++
 	}
 	return quota
--- a/core/slot/table_test.go
+++ b/core/slot/table_test.go
@@ -20,7 +20,7 @@
 	return c
 }
 
-func counts(t carawaycart.SlotTable) map[carawaycart.EndpointID]int {
+func slotCounts(t carawaycart.SlotTable) map[carawaycart.EndpointID]int {
 	n := make(map[carawaycart.EndpointID]int)
 	for _, c := range t.Current {
 		if c != carawaycart.NoMember {
@@ -45,7 +45,7 @@
 			map[carawaycart.EndpointID][2]int{"big": {48, 48}, "small": {16, 16}},
 		},
 	} {
-		got := counts(slot.Reassign(slot.New(test.slots), test.candidates))
+		got := slotCounts(slot.Reassign(slot.New(test.slots), test.candidates))
 		for id, bounds := range test.want {
 			if got[id] < bounds[0] || got[id] > bounds[1] {
 				t.Errorf("%s: got %d slots for %s, want %d to %d", test.name, got[id], id, bounds[0], bounds[1])
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestReassignMovesOnlyTheShareOfALeaver(t *testing.T) {
+func TestReassignMovesOnlySlotsOfRemovedEndpoint(t *testing.T) {
 	before := slot.Reassign(slot.New(1024), candidates(14, 4200))
 	after := slot.Reassign(before, candidates(13, 4200))
 	moved := 0
@@ -63,8 +63,8 @@
 			moved++
 		}
 	}
-	if want := counts(before)["e13"]; moved != want {
-		t.Errorf("got %d slots moved, want the leaver's %d", moved, want)
+	if want := slotCounts(before)["e13"]; moved != want {
+		t.Errorf("got %d slots moved, want the %d of the removed endpoint", moved, want)
 	}
 	if dirty := slot.Dirty(after); dirty != moved {
 		t.Errorf("got %d dirty slots, want the %d that moved", dirty, moved)
@@ -74,16 +74,16 @@
 func TestRetain(t *testing.T) {
 	table := slot.Reassign(slot.Reassign(slot.New(64), candidates(2, 1)), candidates(1, 1))
 	for _, test := range []struct {
-		name    string
-		holding []carawaycart.EndpointID
-		bases   map[carawaycart.EndpointID]int
+		name     string
+		retained []carawaycart.EndpointID
+		bases    map[carawaycart.EndpointID]int
 	}{
 		{"both", []carawaycart.EndpointID{"e00", "e01"}, map[carawaycart.EndpointID]int{"e00": 32, "e01": 32}},
-		{"the one that owns new flows", []carawaycart.EndpointID{"e00"}, map[carawaycart.EndpointID]int{"e00": 64}},
-		{"the other", []carawaycart.EndpointID{"e01"}, map[carawaycart.EndpointID]int{"e01": 32}},
+		{"only the current endpoint of dirty slots", []carawaycart.EndpointID{"e00"}, map[carawaycart.EndpointID]int{"e00": 64}},
+		{"only the base of dirty slots", []carawaycart.EndpointID{"e01"}, map[carawaycart.EndpointID]int{"e01": 32}},
 		{"none", nil, map[carawaycart.EndpointID]int{}},
 	} {
-		got := slot.Retain(table, func(id carawaycart.EndpointID) bool { return slices.Contains(test.holding, id) })
+		got := slot.Retain(table, func(id carawaycart.EndpointID) bool { return slices.Contains(test.retained, id) })
 		bases := make(map[carawaycart.EndpointID]int)
 		for i, b := range got.Base {
 			if b == carawaycart.NoMember {
@@ -111,25 +111,26 @@
 	}
 }
 
-func TestSettleMovesOnlyTheStatedPair(t *testing.T) {
+func TestReplaceBaseChangesOnlyTheGivenPair(t *testing.T) {
 	table := slot.Reassign(slot.Reassign(slot.New(64), candidates(3, 1)), candidates(2, 1))
 	all := make([]carawaycart.SlotIndex, 64)
 	for i := range all {
 		all[i] = carawaycart.SlotIndex(i)
 	}
 	dirty := slot.Dirty(table)
-	if got := slot.Dirty(slot.Settle(table, "e01", "e00", all)); got != dirty {
-		t.Errorf("got %d dirty slots after settling a pair that has none, want %d", got, dirty)
+	if got := slot.Dirty(slot.ReplaceBase(table, "e01", "e00", all)); got != dirty {
+		t.Errorf("got %d dirty slots after replacing the base of a pair without slots, want %d", got, dirty)
 	}
-	table = slot.Settle(table, "e02", "e00", all)
-	table = slot.Settle(table, "e02", "e01", append(all, 5000))
+	table = slot.ReplaceBase(table, "e02", "e00", all)
+	table = slot.ReplaceBase(table, "e02", "e01", append(all, 5000))
 	if got := slot.Dirty(table); got != 0 {
 		t.Errorf("got %d dirty slots, want 0", got)
 	}
 }
 
-// Any sequence of changes leaves each candidate within one slot of its share,
-// and never changes a base that a candidate or a former one owns.
+// Guards against uneven shares and lost bases: after any sequence of changes, each
+// candidate is within one slot of its share, and the base of a slot never
+// changes, also when it is no longer a candidate.
 func TestReassignProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := slot.New(256)
@@ -145,7 +146,7 @@
 				continue
 			}
 			next := slot.Reassign(table, chosen)
-			for id, n := range counts(next) {
+			for id, n := range slotCounts(next) {
 				if least := 256 / len(chosen); n < least || n > least+1 {
 					t.Fatalf("got %d slots for %s of %d candidates", n, id, len(chosen))
 				}
