--- a/core/flow/bench_test.go
+++ b/core/flow/bench_test.go
@@ -38,7 +38,7 @@
 	for _, records := range []int{1000, 35000, 300000} {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
 			f := newFixture(b, 1, 14)
-			f.status(carawaycart.EndpointOpen, true)
+			f.setStatus(carawaycart.EndpointOpen, true)
 			for i := range records {
 				p := packet(i, carawaycart.PacketMiddle)
 				f.records["i00"].Put(carawaycart.FlowRecord{Service: "desk", Fingerprint: p.Key.Fingerprint(), Endpoint: "e01"}, start)
--- a/core/flow/conformance_test.go
+++ b/core/flow/conformance_test.go
@@ -10,7 +10,7 @@
 	"carawaycart/internal/routertest"
 )
 
-// recordFleet is a fixture as routertest.Fleet.
+// recordFleet adapts a fixture to routertest.Fleet.
 type recordFleet struct {
 	*fixture
 	t *testing.T
@@ -19,25 +19,25 @@
 func (r recordFleet) Instances() int { return len(r.members) }
 
 func (r recordFleet) First(instance, n int, now time.Time) carawaycart.Decision {
-	return r.send(r.any(instance), packet(n, carawaycart.PacketFirst), now)
+	return r.send(r.instanceID(instance), packet(n, carawaycart.PacketFirst), now)
 }
 
 func (r recordFleet) Later(instance, n int, _ carawaycart.Decision, now time.Time) carawaycart.Decision {
-	return r.send(r.any(instance), packet(n, carawaycart.PacketMiddle), now)
+	return r.send(r.instanceID(instance), packet(n, carawaycart.PacketMiddle), now)
 }
 
 func (r recordFleet) Unknown(instance int, now time.Time) carawaycart.Decision {
 	p := packet(0, carawaycart.PacketFirst)
 	p.Key.Service = netip.MustParseAddrPort("192.0.2.99:1")
-	return r.send(r.any(instance), p, now)
+	return r.send(r.instanceID(instance), p, now)
 }
 
 func (r recordFleet) Drain(e carawaycart.EndpointID, now time.Time) {
-	r.leave(r.t, e)
+	r.markLeaving(r.t, e)
 	for id := range r.boards {
-		r.arrive(id, now)
+		r.applyConfig(id, now)
 	}
-	// Tables act in steps; a running instance ticks all the while.
+	// A new table takes effect in stages, driven by the ticks of an instance.
 	for at := now; at.Before(now.Add(4 * time.Second)); at = at.Add(250 * time.Millisecond) {
 		for _, b := range r.boards {
 			b.Tick(at)
@@ -45,9 +45,9 @@
 	}
 }
 
-// Restart lets an instance come back with the records that its peers hold.
+// Restart replaces the records of an instance by those that its peers hold.
 func (r recordFleet) Restart(instance int, now time.Time) {
-	id := r.any(instance)
+	id := r.instanceID(instance)
 	fresh := flow.NewRecords()
 	for other, records := range r.records {
 		if other == id {
--- a/core/flow/doc.go
+++ b/core/flow/doc.go
@@ -1,12 +1,17 @@
 // Package flow decides where each packet goes.
 //
-// A Router applies three rules. A first packet goes to the keeper of its
-// slot's current endpoint, which admits the flow there or, when that endpoint
-// is at its limit, elsewhere. Any other packet of a clean slot is forwarded to
-// the slot's endpoint without state. Any other packet of a dirty or guarded
-// slot goes to the keeper, which forwards it by its record of the flow, or to
-// the slot's base if it has none. A packet is relayed at most once.
+// A Router applies three rules:
+//   - The first packet of a flow is handled by the keeper of the slot's current
+//     endpoint. The keeper admits the flow to that endpoint or, when the
+//     endpoint is at its limit, to another one.
+//   - Any other packet of a clean slot is forwarded to the slot's endpoint
+//     without per-flow state.
+//   - Any other packet of a dirty or guarded slot is handled by the keeper. The
+//     keeper forwards it to the endpoint in its record of the flow or, without a
+//     record, to the slot's base.
 //
-// Records holds the keeper's records in shards. Decisions perform no input or
-// output and read no clock, so that traces can replay them.
+// A packet is relayed between instances at most once.
+//
+// Records holds the flow records of a keeper. Decisions perform no input or
+// output and read no clock, so that a trace can be replayed.
 package flow
--- a/core/flow/records.go
+++ b/core/flow/records.go
@@ -7,14 +7,16 @@
 	"carawaycart"
 )
 
-const recordShards = 64
+const recordShardCount = 64
 
-// lingerPeriod is how long the record of an ended flow answers late packets.
-const lingerPeriod = 5 * time.Second
+// endedRetention is how long the record of an ended flow is retained to forward
+// late packets.
+const endedRetention = 5 * time.Second
 
-// Records holds flow records in shards; it is safe for concurrent use.
+// Records is a sharded map of flow records by fingerprint. It is safe for
+// concurrent use.
 type Records struct {
-	shards [recordShards]recordShard
+	shards [recordShardCount]recordShard
 }
 
 type recordShard struct {
@@ -24,8 +26,8 @@
 
 type record struct {
 	carawaycart.FlowRecord
-	seen  int64 // Unix nanoseconds of the last packet
-	ended bool
+	lastSeen int64 // time of the last packet in Unix nanoseconds
+	ended    bool
 }
 
 // NewRecords returns an empty Records.
@@ -38,13 +40,14 @@
 }
 
 func (r *Records) shard(f carawaycart.Fingerprint) *recordShard {
-	// The low bits of f choose the slot; the high bits are independent of them.
-	return &r.shards[f>>58%recordShards]
+	// The low bits of f select the slot, so the shard is selected by the high bits.
+	return &r.shards[f>>58%recordShardCount]
 }
 
-// Owner returns the endpoint that owns the flow f and notes a packet at now;
-// last tells that the packet ends the flow.
-func (r *Records) Owner(f carawaycart.Fingerprint, now time.Time, last bool) (carawaycart.EndpointID, bool) {
+// OwnerForPacket returns the endpoint that owns flow f and records that a packet
+// of the flow was seen at now. Last marks the packet that ends the flow. It
+// returns false if there is no record.
+func (r *Records) OwnerForPacket(f carawaycart.Fingerprint, now time.Time, last bool) (carawaycart.EndpointID, bool) {
 	s := r.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,14 +55,15 @@
 	if !ok {
 		return "", false
 	}
-	rec.seen = now.UnixNano()
+	rec.lastSeen = now.UnixNano()
 	rec.ended = rec.ended || last
 	return rec.Endpoint, true
 }
 
-// Open returns the endpoint that owns the flow f if it has not ended, and
-// otherwise forgets the flow.
-func (r *Records) Open(f carawaycart.Fingerprint, now time.Time) (carawaycart.EndpointID, bool) {
+// OwnerForFirstPacket returns the endpoint that owns flow f and records that a
+// packet of the flow was seen at now. If the flow has ended, it deletes the
+// record. It returns false if there is no record of an open flow.
+func (r *Records) OwnerForFirstPacket(f carawaycart.Fingerprint, now time.Time) (carawaycart.EndpointID, bool) {
 	s := r.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,11 +75,11 @@
 		delete(s.records, f)
 		return "", false
 	}
-	rec.seen = now.UnixNano()
+	rec.lastSeen = now.UnixNano()
 	return rec.Endpoint, true
 }
 
-// Forget drops the record of flow f.
+// Forget deletes the record of flow f.
 func (r *Records) Forget(f carawaycart.Fingerprint) {
 	s := r.shard(f)
 	s.mu.Lock()
@@ -83,17 +87,18 @@
 	delete(s.records, f)
 }
 
-// Put takes in a record seen at now. Where one is held for the flow, the one of
-// the higher revision wins, and of one revision the earlier.
+// Put merges record f, seen at now. A record that exists for the same open flow
+// is replaced if f has a higher revision, or the same revision and an earlier
+// opening time.
 func (r *Records) Put(f carawaycart.FlowRecord, now time.Time) {
 	s := r.shard(f.Fingerprint)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if old, ok := s.records[f.Fingerprint]; ok && !old.ended && !supersedes(f, old.FlowRecord) {
-		old.seen = now.UnixNano()
+		old.lastSeen = now.UnixNano()
 		return
 	}
-	s.records[f.Fingerprint] = &record{FlowRecord: f, seen: now.UnixNano()}
+	s.records[f.Fingerprint] = &record{FlowRecord: f, lastSeen: now.UnixNano()}
 }
 
 func supersedes(a, b carawaycart.FlowRecord) bool {
@@ -115,15 +120,17 @@
 	return n
 }
 
-// Retention tells how long a record is held; the zero value drops it at once.
+// Retention determines how long a record is retained. The zero value expires the
+// record immediately.
 type Retention struct {
-	Idle  time.Duration // silence after which the flow counts as ended
-	Since time.Time     // silence before this does not count
-	Hold  bool          // hold until told that the flow ended
+	Idle  time.Duration // idle timeout, after which the flow counts as ended
+	Since time.Time     // earliest start of the idle time
+	Hold  bool          // disables the idle timeout
 }
 
-// Expire forgets the flows that ended or were silent for too long at now,
-// appends to dst the records that it forgets, and returns it.
+// Expire deletes the records whose retention is over at now, appends them to dst
+// and returns the extended slice. Retention is called for each record with its
+// shard locked.
 func (r *Records) Expire(dst []carawaycart.FlowRecord, now time.Time, retention func(*carawaycart.FlowRecord) Retention) []carawaycart.FlowRecord {
 	for i := range r.shards {
 		s := &r.shards[i]
@@ -144,14 +151,14 @@
 		return true
 	}
 	if r.ended {
-		return now.UnixNano()-r.seen >= int64(lingerPeriod)
+		return now.UnixNano()-r.lastSeen >= int64(endedRetention)
 	}
-	seen := max(r.seen, t.Since.UnixNano())
-	return !t.Hold && now.UnixNano()-seen >= int64(t.Idle)
+	lastSeen := max(r.lastSeen, t.Since.UnixNano())
+	return !t.Hold && now.UnixNano()-lastSeen >= int64(t.Idle)
 }
 
-// Append appends to dst the records of flows that have not ended and that keep
-// accepts, and returns it.
+// Append appends to dst the records of open flows for which keep is true, and
+// returns the extended slice.
 func (r *Records) Append(dst []carawaycart.FlowRecord, keep func(*carawaycart.FlowRecord) bool) []carawaycart.FlowRecord {
 	for i := range r.shards {
 		s := &r.shards[i]
@@ -166,7 +173,8 @@
 	return dst
 }
 
-// Get returns the record of flow f.
+// Get returns the record of flow f, whether the flow is open or ended. It returns
+// false if there is none.
 func (r *Records) Get(f carawaycart.Fingerprint) (carawaycart.FlowRecord, bool) {
 	s := r.shard(f)
 	s.mu.Lock()
--- a/core/flow/router.go
+++ b/core/flow/router.go
@@ -8,19 +8,21 @@
 	"carawaycart/internal/rendezvous"
 )
 
-// Router decides packets of one instance; it is safe for concurrent use.
+// Router decides how one instance handles packets. It is safe for concurrent
+// use.
 type Router struct {
 	board   *board.Board
 	records *Records
 }
 
-// NewRouter returns a router that reads b and keeps records in r.
+// NewRouter returns a router that reads its state from b and stores flow records
+// in r.
 func NewRouter(b *board.Board, r *Records) *Router {
 	return &Router{board: b, records: r}
 }
 
-// Decide returns what is to be done at now with packet p. It allocates nothing
-// unless it records a new flow.
+// Decide returns the decision for packet p at now. It allocates memory only when
+// it records a new flow.
 func (r *Router) Decide(p *carawaycart.Packet, now time.Time) carawaycart.Decision {
 	view := r.board.View()
 	if view == nil || !r.board.Awake(now) {
@@ -37,12 +39,12 @@
 		return drop(carawaycart.CauseNoEndpoint)
 	}
 	if p.Kind == carawaycart.PacketFirst {
-		return r.first(view, route, slot, f, p.Relayed, now)
+		return r.decideFirst(view, route, slot, f, p.Relayed, now)
 	}
 	if slot.Clean() {
 		return forward(slot.Base.ID)
 	}
-	return r.middle(view, route, slot, index, f, p, now)
+	return r.decideEstablished(view, route, slot, index, f, p, now)
 }
 
 func drop(c carawaycart.Cause) carawaycart.Decision {
@@ -57,8 +59,9 @@
 	return carawaycart.Decision{Verdict: carawaycart.VerdictRelay, Instance: i}
 }
 
-// middle decides a packet of an established flow in a dirty or guarded slot.
-func (r *Router) middle(view *board.View, route *board.ServiceRoute, slot board.Slot, index carawaycart.SlotIndex,
+// decideEstablished decides a packet of an established flow in a dirty or guarded
+// slot.
+func (r *Router) decideEstablished(view *board.View, route *board.ServiceRoute, slot board.Slot, index carawaycart.SlotIndex,
 	f carawaycart.Fingerprint, p *carawaycart.Packet, now time.Time,
 ) carawaycart.Decision {
 	holders := slot.Current.Holders(r.board.Members())
@@ -71,7 +74,7 @@
 		return drop(carawaycart.CauseNotKeeper)
 	}
 	last := p.Kind == carawaycart.PacketLast
-	if owner, ok := r.records.Owner(f, now, last); ok && view.Config.Holding(owner) {
+	if owner, ok := r.records.OwnerForPacket(f, now, last); ok && view.Config.Holding(owner) {
 		return forward(owner)
 	}
 	if slot.Base != slot.Current {
@@ -80,9 +83,9 @@
 	return forward(slot.Base.ID)
 }
 
-// first decides the first packet of a flow. Dropping one is safe: the caller
-// sends it again.
-func (r *Router) first(view *board.View, route *board.ServiceRoute, slot board.Slot,
+// decideFirst decides the first packet of a flow. It drops the packet when in
+// doubt, which is safe because the caller retransmits it.
+func (r *Router) decideFirst(view *board.View, route *board.ServiceRoute, slot board.Slot,
 	f carawaycart.Fingerprint, relayed bool, now time.Time,
 ) carawaycart.Decision {
 	keeper := slot.Current.Holders(r.board.Members()).Keeper
@@ -94,7 +97,7 @@
 	case keeper != r.board.Self:
 		return drop(carawaycart.CauseNotKeeper)
 	}
-	if owner, ok := r.records.Open(f, now); ok {
+	if owner, ok := r.records.OwnerForFirstPacket(f, now); ok {
 		if view.Config.Holding(owner) {
 			return forward(owner)
 		}
@@ -106,35 +109,38 @@
 	}
 	stable, baseStable := route.Stable(f)
 	if !stable {
-		return r.firstWhileSpreading(slot, baseStable, now)
+		return r.decideFirstUnstable(slot, baseStable, now)
 	}
 	if view.Config.Accepting(slot.Current.ID) && gate.AdmitFlow(now) {
-		return r.open(view, route, slot, slot.Current, f, now)
+		return r.openFlow(view, route, slot, slot.Current, f, now)
 	}
 	if slot.Base == slot.Current {
-		// Packets of a clean slot bypass the keeper until all know of the guard.
-		if from, ok := gate.SpillFrom(); !ok || now.Before(from) {
+		// Until all instances know that the endpoint is guarded, they forward
+		// packets of the clean slot directly, bypassing the keeper.
+		if spilloverStart, ok := gate.SpilloverStart(); !ok || now.Before(spilloverStart) {
 			return drop(carawaycart.CauseSpreading)
 		}
 	}
-	other := r.spill(view, route, slot.Current, f)
-	if other == nil {
+	target := r.spillover(view, route, slot.Current, f)
+	if target == nil {
 		return drop(carawaycart.CauseNoCapacity)
 	}
-	return r.open(view, route, slot, other, f, now)
+	return r.openFlow(view, route, slot, target, f, now)
 }
 
-// firstWhileSpreading opens a flow on its base where the tables before and
-// after agree that unrecorded flows belong to it.
-func (r *Router) firstWhileSpreading(slot board.Slot, baseStable bool, now time.Time) carawaycart.Decision {
+// decideFirstUnstable decides the first packet of a flow whose slot has changed so
+// recently that some instances may use the previous table. It admits the flow to
+// the base if both tables agree that the base owns unrecorded flows.
+func (r *Router) decideFirstUnstable(slot board.Slot, baseStable bool, now time.Time) carawaycart.Decision {
 	if baseStable && slot.Base == slot.Current && slot.Base.Gate().AdmitFlow(now) {
 		return forward(slot.Base.ID)
 	}
 	return drop(carawaycart.CauseSpreading)
 }
 
-// open records the flow unless its owner is the base of its slot.
-func (r *Router) open(view *board.View, route *board.ServiceRoute, slot board.Slot, owner *board.Entry,
+// openFlow forwards the first packet of flow f to owner and records the flow
+// unless owner is the base of its slot.
+func (r *Router) openFlow(view *board.View, route *board.ServiceRoute, slot board.Slot, owner *board.Entry,
 	f carawaycart.Fingerprint, now time.Time,
 ) carawaycart.Decision {
 	d := forward(owner.ID)
@@ -149,17 +155,17 @@
 	return d
 }
 
-// spill returns the open endpoint of the service that scores highest for the
-// flow, or nil.
-func (r *Router) spill(view *board.View, route *board.ServiceRoute, not *board.Entry, f carawaycart.Fingerprint) *board.Entry {
+// spillover returns the open endpoint of the service, other than exclude, with
+// the highest rendezvous score for flow f. It returns nil if there is none.
+func (r *Router) spillover(view *board.View, route *board.ServiceRoute, exclude *board.Entry, f carawaycart.Fingerprint) *board.Entry {
 	var best *board.Entry
-	var high uint64
+	var bestScore uint64
 	for _, e := range route.Entries {
-		if e == not || !view.Config.Accepting(e.ID) || e.Status().State != carawaycart.EndpointOpen {
+		if e == exclude || !view.Config.Accepting(e.ID) || e.Status().State != carawaycart.EndpointOpen {
 			continue
 		}
-		if s := e.Score(rendezvous.Key(f)); best == nil || s > high {
-			best, high = e, s
+		if s := e.Score(rendezvous.Key(f)); best == nil || s > bestScore {
+			best, bestScore = e, s
 		}
 	}
 	return best
--- a/core/flow/router_test.go
+++ b/core/flow/router_test.go
@@ -19,7 +19,8 @@
 	address = netip.MustParseAddrPort("192.0.2.1:443")
 )
 
-// fixture is a set of instances that share one configuration history.
+// fixture is a set of instances that apply the same sequence of configurations,
+// each at its own time.
 type fixture struct {
 	config  *config.Configuration
 	members []carawaycart.Member
@@ -28,8 +29,9 @@
 	routers map[carawaycart.InstanceID]*flow.Router
 }
 
-// newFixture returns instances in two zones before a service with the given
-// number of endpoints, all clean and open.
+// newFixture returns a fixture of the given number of instances in two zones and
+// one service with the given number of endpoints. All slots are clean and all
+// endpoints open.
 func newFixture(tb testing.TB, instances, endpoints int) *fixture {
 	tb.Helper()
 	f := &fixture{
@@ -40,16 +42,16 @@
 	}
 	zones := []carawaycart.ZoneID{"a", "b"}
 	for _, z := range zones {
-		f.change(tb, carawaycart.KindZone, string(z), carawaycart.Zone{ID: z})
+		f.put(tb, carawaycart.KindZone, string(z), carawaycart.Zone{ID: z})
 	}
-	f.change(tb, carawaycart.KindService, "desk", carawaycart.Service{ID: "desk", Address: address, Profile: "swift"})
+	f.put(tb, carawaycart.KindService, "desk", carawaycart.Service{ID: "desk", Address: address, Profile: "swift"})
 	for i := range endpoints {
 		id := carawaycart.EndpointID(fmt.Sprintf("e%02d", i))
-		f.change(tb, carawaycart.KindEndpoint, string(id), carawaycart.Endpoint{
+		f.put(tb, carawaycart.KindEndpoint, string(id), carawaycart.Endpoint{
 			ID: id, Service: "desk", Zone: zones[i%2], FlowAddress: netip.MustParseAddrPort("127.0.0.1:1"), Flows: 1000, Slots: 2,
 		})
 	}
-	f.settle(tb)
+	f.cleanSlots(tb)
 	for i := range instances {
 		id := carawaycart.InstanceID(fmt.Sprintf("i%02d", i))
 		f.members = append(f.members, carawaycart.Member{
@@ -61,19 +63,19 @@
 	}
 	for id := range f.boards {
 		f.boards[id].SetMembers(f.members)
-		f.arrive(id, start)
+		f.applyConfig(id, start)
 	}
-	f.open(start)
+	f.openGates(start)
 	return f
 }
 
-func (f *fixture) change(tb testing.TB, kind carawaycart.ObjectKind, name string, object any) {
+func (f *fixture) put(tb testing.TB, kind carawaycart.ObjectKind, name string, object any) {
 	tb.Helper()
 	f.config = configtest.Put(tb, f.config, kind, name, object)
 }
 
-// settle makes every slot clean.
-func (f *fixture) settle(tb testing.TB) {
+// cleanSlots replaces the base of every slot by its current endpoint.
+func (f *fixture) cleanSlots(tb testing.TB) {
 	t := f.config.Slots["desk"]
 	var s config.Settlement
 	for i := range t.Base {
@@ -83,24 +85,26 @@
 			})
 		}
 	}
-	f.change(tb, carawaycart.KindSettle, "desk", s)
+	f.put(tb, carawaycart.KindSettle, "desk", s)
 }
 
-// leave marks endpoint id as leaving; the instances do not know yet.
-func (f *fixture) leave(tb testing.TB, id carawaycart.EndpointID) {
+// markLeaving marks endpoint id as leaving. The instances receive the change with
+// applyConfig.
+func (f *fixture) markLeaving(tb testing.TB, id carawaycart.EndpointID) {
 	e := f.config.Endpoints[id]
 	e.Mark = carawaycart.MarkLeaving
-	f.change(tb, carawaycart.KindEndpoint, string(id), e)
+	f.put(tb, carawaycart.KindEndpoint, string(id), e)
 }
 
-// arrive lets instance id learn the latest configuration at now.
-func (f *fixture) arrive(id carawaycart.InstanceID, now time.Time) {
+// applyConfig applies the latest configuration to instance id at now.
+func (f *fixture) applyConfig(id carawaycart.InstanceID, now time.Time) {
 	f.boards[id].SetConfig(f.config, now)
 	f.boards[id].StayAwake(now.Add(time.Hour))
 }
 
-// open opens the gates of all keepers, with warm endpoints.
-func (f *fixture) open(now time.Time) {
+// openGates installs the gates of all endpoints at their keepers. The endpoints
+// are past their warm-up.
+func (f *fixture) openGates(now time.Time) {
 	for id, b := range f.boards {
 		for e := range f.config.Endpoints {
 			entry := b.Entry(e)
@@ -112,11 +116,11 @@
 			entry.OpenGate(g, now)
 		}
 	}
-	f.status(carawaycart.EndpointOpen, false)
+	f.setStatus(carawaycart.EndpointOpen, false)
 }
 
-// status lets all instances know one status of all endpoints.
-func (f *fixture) status(state carawaycart.EndpointState, guarded bool) {
+// setStatus sets the same status of all endpoints at all instances.
+func (f *fixture) setStatus(state carawaycart.EndpointState, guarded bool) {
 	for _, b := range f.boards {
 		for e := range f.config.Endpoints {
 			b.Entry(e).State("any", state, guarded)
@@ -124,8 +128,8 @@
 	}
 }
 
-// send passes a packet from the fabric to instance id, follows a relay, and
-// copies a new record to the replicas.
+// send passes a packet from the fabric to instance id and, if it is relayed, to
+// the next instance. It copies a new record to the replicas.
 func (f *fixture) send(id carawaycart.InstanceID, p carawaycart.Packet, now time.Time) carawaycart.Decision {
 	d := f.routers[id].Decide(&p, now)
 	if d.Verdict == carawaycart.VerdictRelay {
@@ -149,22 +153,23 @@
 	}
 }
 
-// kill makes every instance forget id.
-func (f *fixture) kill(id carawaycart.InstanceID) {
+// removeInstance removes instance id from the fixture and from the members that
+// the other instances know.
+func (f *fixture) removeInstance(id carawaycart.InstanceID) {
 	delete(f.boards, id)
-	var rest []carawaycart.Member
+	var remaining []carawaycart.Member
 	for _, m := range f.members {
 		if m.ID != id {
-			rest = append(rest, m)
+			remaining = append(remaining, m)
 		}
 	}
-	f.members = rest
+	f.members = remaining
 	for _, b := range f.boards {
-		b.SetMembers(rest)
+		b.SetMembers(remaining)
 	}
 }
 
-func (f *fixture) any(i int) carawaycart.InstanceID { return f.members[i%len(f.members)].ID }
+func (f *fixture) instanceID(i int) carawaycart.InstanceID { return f.members[i%len(f.members)].ID }
 
 func packet(i int, kind carawaycart.PacketKind) carawaycart.Packet {
 	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 51, 100, byte(i / 50000)}), uint16(10000+i%50000))
@@ -176,7 +181,7 @@
 	t.Helper()
 	owners := make([]carawaycart.EndpointID, n)
 	for i := range owners {
-		d := f.send(f.any(i), packet(i, carawaycart.PacketFirst), now)
+		d := f.send(f.instanceID(i), packet(i, carawaycart.PacketFirst), now)
 		if d.Verdict != carawaycart.VerdictForward {
 			t.Fatalf("flow %d: got verdict %d with cause %s, want it forwarded", i, d.Verdict, d.Cause)
 		}
@@ -185,8 +190,9 @@
 	return owners
 }
 
-// check sends a packet of each flow through every instance.
-func (f *fixture) check(t *testing.T, when string, owners []carawaycart.EndpointID, now time.Time) {
+// checkOwners sends a packet of each flow through every instance and fails the
+// test unless it is forwarded to the owner of the flow.
+func (f *fixture) checkOwners(t *testing.T, when string, owners []carawaycart.EndpointID, now time.Time) {
 	t.Helper()
 	for i, want := range owners {
 		for id := range f.boards {
@@ -203,7 +209,7 @@
 
 func TestCleanSlotsNeedNoRecords(t *testing.T) {
 	f := newFixture(t, 8, 14)
-	f.check(t, "steady", f.openFlows(t, 500, start), start)
+	f.checkOwners(t, "steady", f.openFlows(t, 500, start), start)
 	for id, r := range f.records {
 		if r.Len() != 0 {
 			t.Errorf("%s: got %d records, want none", id, r.Len())
@@ -214,46 +220,47 @@
 func TestDrainKeepsFlows(t *testing.T) {
 	f := newFixture(t, 8, 14)
 	owners := f.openFlows(t, 500, start)
-	f.leave(t, "e03")
+	f.markLeaving(t, "e03")
 	ids := make([]carawaycart.InstanceID, 0, len(f.boards))
 	for id := range f.boards {
 		ids = append(ids, id)
 	}
-	for i, id := range ids { // the change arrives unevenly
-		f.arrive(id, start.Add(time.Duration(i)*100*time.Millisecond))
-		f.check(t, "while the change spreads", owners, start.Add(time.Duration(i)*100*time.Millisecond))
+	for i, id := range ids { // the instances apply the change at different times
+		f.applyConfig(id, start.Add(time.Duration(i)*100*time.Millisecond))
+		f.checkOwners(t, "while instances apply the change", owners, start.Add(time.Duration(i)*100*time.Millisecond))
 	}
 	for at := time.Second; at < 4*time.Second; at += 250 * time.Millisecond {
 		for _, b := range f.boards {
 			b.Tick(start.Add(at))
 		}
-		f.check(t, "after "+at.String(), owners, start.Add(at))
+		f.checkOwners(t, "after "+at.String(), owners, start.Add(at))
 	}
 	now := start.Add(5 * time.Second)
 	for i := range 500 {
-		d := f.send(f.any(i), packet(10000+i, carawaycart.PacketFirst), now)
+		d := f.send(f.instanceID(i), packet(10000+i, carawaycart.PacketFirst), now)
 		if d.Endpoint == "e03" {
 			t.Fatalf("new flow %d went to the leaving endpoint", i)
 		}
 	}
-	f.check(t, "after new flows", owners, now)
+	f.checkOwners(t, "after new flows", owners, now)
 }
 
-// All endpoints of a service may leave at once, before their successors exist.
-func TestLeavingOfAllEndpointsKeepsFlows(t *testing.T) {
+// Guards against loss of flows when all endpoints of a service are marked as
+// leaving before any replacement has been added.
+func TestDrainOfAllEndpointsKeepsFlows(t *testing.T) {
 	f := newFixture(t, 4, 3)
 	owners := f.openFlows(t, 200, start)
 	for _, id := range []carawaycart.EndpointID{"e00", "e01", "e02"} {
-		f.leave(t, id)
+		f.markLeaving(t, id)
 	}
 	for id := range f.boards {
-		f.arrive(id, start)
+		f.applyConfig(id, start)
 	}
 	for at := time.Duration(0); at <= 4*time.Second; at += 500 * time.Millisecond {
 		for _, b := range f.boards {
 			b.Tick(start.Add(at))
 		}
-		f.check(t, "after "+at.String(), owners, start.Add(at))
+		f.checkOwners(t, "after "+at.String(), owners, start.Add(at))
 	}
 	d := f.send("i00", packet(999, carawaycart.PacketFirst), start.Add(5*time.Second))
 	if d.Verdict != carawaycart.VerdictDrop {
@@ -261,11 +268,11 @@
 	}
 }
 
-func TestKeeperDeathKeepsRecordedFlows(t *testing.T) {
+func TestKeeperFailureKeepsRecordedFlows(t *testing.T) {
 	f := newFixture(t, 8, 14)
-	f.leave(t, "e03")
+	f.markLeaving(t, "e03")
 	for id := range f.boards {
-		f.arrive(id, start)
+		f.applyConfig(id, start)
 	}
 	now := start.Add(5 * time.Second)
 	for _, b := range f.boards {
@@ -277,26 +284,26 @@
 		recorded += r.Len()
 	}
 	if recorded == 0 {
-		t.Fatal("no flow was recorded, so the test shows nothing")
+		t.Fatal("no flow was recorded; the test needs recorded flows")
 	}
-	f.kill("i02")
-	f.check(t, "after the death", owners, now)
+	f.removeInstance("i02")
+	f.checkOwners(t, "after the keeper failed", owners, now)
 }
 
-func TestFirstPacketIsDroppedWhereItCouldGoAstray(t *testing.T) {
+func TestFirstPacketIsDroppedWhenOwnerIsUncertain(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		prepare func(*fixture, *testing.T)
 		want    carawaycart.Cause
 	}{
-		{"no configuration", func(f *fixture, _ *testing.T) { f.boards["i00"], f.routers["i00"] = empty() }, carawaycart.CauseNotReady},
-		{"nobody ready", func(f *fixture, _ *testing.T) { f.boards["i00"].SetMembers(nil) }, carawaycart.CauseNoKeeper},
-		{"paused", func(f *fixture, _ *testing.T) {
+		{"no configuration", func(f *fixture, _ *testing.T) { f.boards["i00"], f.routers["i00"] = newEmptyRouter() }, carawaycart.CauseNotReady},
+		{"no ready member", func(f *fixture, _ *testing.T) { f.boards["i00"].SetMembers(nil) }, carawaycart.CauseNoKeeper},
+		{"paused instance", func(f *fixture, _ *testing.T) {
 			for _, b := range f.boards {
 				b.StayAwake(start)
 			}
 		}, carawaycart.CauseNotReady},
-		{"endpoint full, guard not known yet", func(f *fixture, _ *testing.T) {
+		{"endpoint full, guard not yet known to all instances", func(f *fixture, _ *testing.T) {
 			for _, b := range f.boards {
 				b.Entries(func(e *board.Entry) {
 					if g := e.Gate(); g != nil {
@@ -316,7 +323,8 @@
 	}
 }
 
-// A paused instance may have missed that a slot is no longer clean.
+// Guards against forwarding by an outdated table: an instance that was paused may
+// not know that a slot is no longer clean.
 func TestPausedInstanceForwardsNothing(t *testing.T) {
 	f := newFixture(t, 4, 4)
 	f.boards["i00"].StayAwake(start)
@@ -328,12 +336,12 @@
 	}
 }
 
-func empty() (*board.Board, *flow.Router) {
+func newEmptyRouter() (*board.Board, *flow.Router) {
 	b := board.New("i00")
 	return b, flow.NewRouter(b, flow.NewRecords())
 }
 
-func TestUnknownServiceIsNeverGuessed(t *testing.T) {
+func TestPacketOfUnknownServiceIsDropped(t *testing.T) {
 	f := newFixture(t, 4, 4)
 	p := packet(1, carawaycart.PacketMiddle)
 	p.Key.Service = netip.MustParseAddrPort("192.0.2.9:443")
@@ -344,7 +352,7 @@
 
 func TestRelayedPacketIsNotRelayedAgain(t *testing.T) {
 	f := newFixture(t, 8, 14)
-	f.status(carawaycart.EndpointOpen, true)
+	f.setStatus(carawaycart.EndpointOpen, true)
 	for i := range 200 {
 		for _, kind := range []carawaycart.PacketKind{carawaycart.PacketFirst, carawaycart.PacketMiddle} {
 			p := packet(i, kind)
@@ -377,16 +385,17 @@
 	if limit := f.config.Profiles["swift"].ColdFlows; n != limit {
 		t.Errorf("got %d flows on the cold endpoint, want its limit of %d", n, limit)
 	}
-	f.check(t, "after the spill", owners, now)
-	f.kill("i01")
-	f.check(t, "after a death", owners, now)
+	f.checkOwners(t, "after the spillover", owners, now)
+	f.removeInstance("i01")
+	f.checkOwners(t, "after an instance failed", owners, now)
 }
 
-// A record of an endpoint whose zone went out must not come back with the zone.
-func TestRecordOfAZoneTakenOutIsForgotten(t *testing.T) {
+// Guards against records that outlive their zone: when a zone is taken out and
+// added again, its earlier flows must not be forwarded there.
+func TestRecordsOfZoneTakenOutExpire(t *testing.T) {
 	r := flow.NewRecords()
 	r.Put(carawaycart.FlowRecord{Service: "desk", Fingerprint: 1, Endpoint: "e01"}, start)
-	r.Owner(1, start, true) // the flow ended, its record lingers
+	r.OwnerForPacket(1, start, true) // the flow has ended, its record is retained for late packets
 	r.Put(carawaycart.FlowRecord{Service: "desk", Fingerprint: 2, Endpoint: "e01"}, start)
 	r.Expire(nil, start, func(*carawaycart.FlowRecord) flow.Retention { return flow.Retention{} })
 	if n := r.Len(); n != 0 {
@@ -403,8 +412,8 @@
 	}{
 		{"before the idle limit", flow.Retention{Idle: time.Minute}, 59 * time.Second, 1},
 		{"after the idle limit", flow.Retention{Idle: time.Minute}, time.Minute, 0},
-		{"replicas see no packets", flow.Retention{Idle: time.Minute, Hold: true}, time.Hour, 1},
-		{"keeper since a moment ago", flow.Retention{Idle: time.Minute, Since: start.Add(50 * time.Second)}, time.Minute, 1},
+		{"no idle timeout at replicas, which receive no packets", flow.Retention{Idle: time.Minute, Hold: true}, time.Hour, 1},
+		{"idle time counts from the takeover by a new keeper", flow.Retention{Idle: time.Minute, Since: start.Add(50 * time.Second)}, time.Minute, 1},
 	} {
 		r := flow.NewRecords()
 		r.Put(carawaycart.FlowRecord{Fingerprint: 1, Endpoint: "e01"}, start)
@@ -415,8 +424,9 @@
 	}
 }
 
-// Records made on both sides of a partition merge to the same owner.
-func TestPutMergesTheSameWayInAnyOrder(t *testing.T) {
+// Guards against diverging owners after a partition: records of one flow made on
+// both sides must merge to the same owner in any order.
+func TestMergeOfRecordsIsOrderIndependent(t *testing.T) {
 	newer := carawaycart.FlowRecord{Fingerprint: 1, Endpoint: "newer", Revision: 8, OpenedUnix: 5}
 	early := carawaycart.FlowRecord{Fingerprint: 1, Endpoint: "early", Revision: 7, OpenedUnix: 1}
 	late := carawaycart.FlowRecord{Fingerprint: 1, Endpoint: "late", Revision: 7, OpenedUnix: 2}
@@ -433,7 +443,7 @@
 		for _, rec := range test.records {
 			r.Put(rec, start)
 		}
-		if got, _ := r.Owner(1, start, false); got != test.want {
+		if got, _ := r.OwnerForPacket(1, start, false); got != test.want {
 			t.Errorf("%v: got %s, want %s", test.records, got, test.want)
 		}
 	}
--- a/core/limit/budget.go
+++ b/core/limit/budget.go
@@ -7,29 +7,31 @@
 )
 
 const (
-	budgetBurst = 10.0 // retries that may be sent at once after a quiet time
-	percent     = 100.0
+	maxBudgetTokens = 10.0 // largest burst of retries
+	percent         = 100.0
 )
 
-// Budget bounds retries to a fraction of fresh requests; it is safe for
-// concurrent use.
+// Budget limits retries to a ratio of the first attempts at requests. It is a token
+// bucket to which each first attempt adds the ratio. It is safe for concurrent
+// use.
 type Budget struct {
 	mu     sync.Mutex
-	share  float64
+	ratio  float64 // retries per first attempt
 	tokens float64
 }
 
-// NewBudget returns a full budget of share retries per fresh request.
-func NewBudget(share float64) *Budget { return &Budget{share: share, tokens: budgetBurst} }
+// NewBudget returns a full budget that allows ratio retries per first attempt.
+func NewBudget(ratio float64) *Budget { return &Budget{ratio: ratio, tokens: maxBudgetTokens} }
 
-// Fresh counts a fresh request.
+// Fresh adds the share of one first attempt to the budget.
 func (b *Budget) Fresh() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+b.share, budgetBurst)
+	b.tokens = min(b.tokens+b.ratio, maxBudgetTokens)
 }
 
-// Retry takes one retry and reports whether there was one.
+// Retry withdraws one retry from the budget. It returns false if there is none
+// left.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -40,7 +42,7 @@
 	return true
 }
 
-// Budgets holds a budget for each service; it is safe for concurrent use.
+// Budgets holds the budget of each service. It is safe for concurrent use.
 type Budgets struct {
 	mu      sync.Mutex
 	budgets map[carawaycart.ServiceID]*Budget
@@ -51,19 +53,19 @@
 	return &Budgets{budgets: make(map[carawaycart.ServiceID]*Budget)}
 }
 
-// Of returns the budget of service id, whose profile allows retryPercent
-// retries per hundred fresh requests.
+// Of returns the budget of service id and sets its ratio to retryPercent retries per
+// hundred first attempts. The budget of a new service is full.
 func (b *Budgets) Of(id carawaycart.ServiceID, retryPercent int) *Budget {
-	share := float64(retryPercent) / percent
+	ratio := float64(retryPercent) / percent
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	budget := b.budgets[id]
 	if budget == nil {
-		budget = NewBudget(share)
+		budget = NewBudget(ratio)
 		b.budgets[id] = budget
 	}
 	budget.mu.Lock()
-	budget.share = share
+	budget.ratio = ratio
 	budget.mu.Unlock()
 	return budget
 }
--- a/core/limit/doc.go
+++ b/core/limit/doc.go
@@ -1,10 +1,12 @@
-// Package limit decides how much work an endpoint may get.
+// Package limit limits the flows and requests that endpoints receive.
 //
-// A Gate belongs to one endpoint and lives on its keeper, the one instance that
-// admits new flows and requests to it, so that its limits hold in sum over all
-// instances. The gate trusts its own counts first: flows it admitted since the
-// last report are added to what the report says, and a report that falls
-// silent changes the state at once. A cold endpoint gets no more new flows in
-// sum than its profile allows until it reports warm, then a share of its
-// capacity that grows until the warm-up deadline.
+// A Gate limits one endpoint. It exists only at the keeper, the one instance that
+// admits new flows and requests to that endpoint, so that its limits hold for the
+// sum over all instances. It counts the flows that it has admitted since the last
+// load report in addition to the reported ones, and changes the state of the
+// endpoint when reports are missing. A cold endpoint gets at most as many new flows
+// in total as its profile allows. When it reports that it is warm, the limit
+// grows with its capacity until the end of the warm-up.
+//
+// A Budget limits the retries of requests to a service.
 package limit
--- a/core/limit/gate.go
+++ b/core/limit/gate.go
@@ -8,34 +8,48 @@
 )
 
 const (
-	silencePeriod = 3 * time.Second         // three reports are missing
-	spreadPeriod  = 1200 * time.Millisecond // until all instances know the status
-	takeoverGrace = time.Second             // until holders have registered their permits again
-	shedPeriod    = time.Second             // an endpoint that shed work gets none so long
-	deadAfter     = 2                       // consecutive failed reports
+	// reportTimeout is the age of the last report at which an endpoint becomes
+	// silent. Three reports are missing by then.
+	reportTimeout = 3 * time.Second
+
+	// propagationDelay is the time in which a status reaches all instances.
+	propagationDelay = 1200 * time.Millisecond
+
+	// permitGracePeriod is the time in which instances register the permits that
+	// they hold with a new keeper.
+	permitGracePeriod = time.Second
+
+	// shedBackoff is the time for which an endpoint that has shed a request gets no
+	// new requests and, in state open, no new flows.
+	shedBackoff = time.Second
+
+	// deadFailures is the number of refused connections without a report in
+	// between after which an endpoint is dead.
+	deadFailures = 2
 )
 
-// Gate admits work to one endpoint; it is safe for concurrent use.
+// Gate limits the flows and requests admitted to one endpoint. It is safe for
+// concurrent use.
 type Gate struct {
 	mu       sync.Mutex
 	endpoint carawaycart.Endpoint
 	profile  carawaycart.Profile
 
-	state        carawaycart.EndpointState
-	guarded      bool
-	guardedUntil time.Time // earliest end of the guard
-	spillFrom    time.Time // flows may be opened elsewhere from here on
+	state          carawaycart.EndpointState
+	guarded        bool
+	guardedUntil   time.Time // earliest time at which the guard may be removed
+	spilloverStart time.Time // from when flows may be admitted to other endpoints
 
-	report     carawaycart.Report
-	heard      time.Time // last report
-	failures   int       // consecutive failed reports
-	opened     int       // flows admitted since the last report
-	coldOpened int       // flows admitted since the endpoint was known cold
-	warmFrom   time.Time // start of the warm-up
-	warmUntil  time.Time // end of the warm-up
-	shedUntil  time.Time
-	grantFrom  time.Time
-	permits    map[carawaycart.PermitID]permit
+	lastReport       carawaycart.Report
+	lastReportAt     time.Time // arrival of lastReport, or the takeover by this keeper
+	failures         int       // refused connections since the last report
+	flowsSinceReport int       // flows admitted since the last report
+	flowsSinceCold   int       // flows admitted since the endpoint became cold
+	warmupStart      time.Time
+	warmupEnd        time.Time
+	shedUntil        time.Time // end of the backoff after a shed request
+	acquireFrom      time.Time // no permits are granted before
+	permits          map[carawaycart.PermitID]permit
 }
 
 type permit struct {
@@ -43,33 +57,34 @@
 	deadline time.Time
 }
 
-// NewGate returns the gate of an endpoint whose keeper this instance became at
-// now. Inherited is what the previous keeper said last; if it said that the
-// endpoint was cold, the whole cold allowance counts as used.
+// NewGate returns the gate of endpoint e, whose keeper this instance became at now.
+// Inherited is the last status from the previous keeper; its version is zero if
+// there was none. If it is not open, the whole cold allowance counts as used,
+// because the new keeper does not know how much of it is left.
 func NewGate(e carawaycart.Endpoint, p carawaycart.Profile, inherited carawaycart.EndpointStatus, now time.Time) *Gate {
 	g := &Gate{
-		endpoint: e,
-		profile:  p,
-		state:    inherited.State,
-		guarded:  inherited.Guarded,
-		heard:    now,
-		permits:  make(map[carawaycart.PermitID]permit),
+		endpoint:     e,
+		profile:      p,
+		state:        inherited.State,
+		guarded:      inherited.Guarded,
+		lastReportAt: now,
+		permits:      make(map[carawaycart.PermitID]permit),
 	}
 	if inherited.Version > 0 {
-		g.grantFrom = now.Add(takeoverGrace)
+		g.acquireFrom = now.Add(permitGracePeriod)
 		if inherited.State != carawaycart.EndpointOpen {
-			g.coldOpened = p.ColdFlows
+			g.flowsSinceCold = p.ColdFlows
 		}
 	}
 	if g.guarded {
-		// The new keeper has yet to look for flows that live elsewhere.
-		g.spillFrom = now.Add(spreadPeriod)
-		g.guardedUntil = now.Add(2 * spreadPeriod)
+		// The new keeper does not know yet which flows are owned by other endpoints.
+		g.spilloverStart = now.Add(propagationDelay)
+		g.guardedUntil = now.Add(2 * propagationDelay)
 	}
 	return g
 }
 
-// Configure takes in a changed endpoint or profile.
+// Configure replaces the endpoint and its profile.
 func (g *Gate) Configure(e carawaycart.Endpoint, p carawaycart.Profile) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,28 +92,29 @@
 	g.profile = p
 }
 
-// Observe takes in a report that arrived at now.
+// Observe records a load report that arrived at now and updates the state of the
+// endpoint.
 func (g *Gate) Observe(r carawaycart.Report, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	wasCold := g.cold()
-	g.report = r
-	g.heard = now
+	g.lastReport = r
+	g.lastReportAt = now
 	g.failures = 0
-	g.opened = 0
+	g.flowsSinceReport = 0
 	switch {
 	case r.Cold:
 		if g.state == carawaycart.EndpointOpen || g.state == carawaycart.EndpointFull {
-			g.coldOpened = 0
+			g.flowsSinceCold = 0
 		}
 		g.state = carawaycart.EndpointCold
-		g.warmUntil = time.Time{}
+		g.warmupEnd = time.Time{}
 	case r.Shedding || r.Flows >= g.endpoint.Flows:
 		g.state = carawaycart.EndpointFull
 	default:
 		if wasCold {
-			g.warmFrom = now
-			g.warmUntil = now.Add(g.profile.WarmupSeconds.Duration())
+			g.warmupStart = now
+			g.warmupEnd = now.Add(g.profile.WarmupSeconds.Duration())
 		}
 		g.state = carawaycart.EndpointOpen
 	}
@@ -108,123 +124,127 @@
 	return g.state == carawaycart.EndpointCold || g.state == carawaycart.EndpointUnknown
 }
 
-// Missed notes that no report could be had at now; refused tells that the
-// endpoint's host answered that nothing listens.
-func (g *Gate) Missed(refused bool, now time.Time) {
+// Missed records that a request for a load report failed at now and updates the
+// state of the endpoint. ConnectionRefused means that no process listens at the
+// endpoint's address.
+func (g *Gate) Missed(connectionRefused bool, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if refused {
+	if connectionRefused {
 		g.failures++
 	}
 	switch {
-	case g.failures >= deadAfter:
+	case g.failures >= deadFailures:
 		g.state = carawaycart.EndpointDead
-	case now.Sub(g.heard) >= silencePeriod && g.state != carawaycart.EndpointDead:
+	case now.Sub(g.lastReportAt) >= reportTimeout && g.state != carawaycart.EndpointDead:
 		g.state = carawaycart.EndpointSilent
 	}
 }
 
-// Guard decides at now whether the packets of the endpoint's slots must pass
-// through the keeper; exceptions tells that flows of those slots live elsewhere.
+// Guard updates at now whether the endpoint is guarded, which means that packets of
+// its slots must pass through the keeper. Exceptions reports whether other
+// endpoints own flows of those slots.
 func (g *Gate) Guard(exceptions bool, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	need := exceptions || g.state != carawaycart.EndpointOpen
+	needed := exceptions || g.state != carawaycart.EndpointOpen
 	switch {
-	case need && !g.guarded:
+	case needed && !g.guarded:
 		g.guarded = true
-		g.spillFrom = now.Add(spreadPeriod)
-		g.guardedUntil = now.Add(2 * spreadPeriod)
-	case need:
-		g.guardedUntil = now.Add(2 * spreadPeriod)
+		g.spilloverStart = now.Add(propagationDelay)
+		g.guardedUntil = now.Add(2 * propagationDelay)
+	case needed:
+		g.guardedUntil = now.Add(2 * propagationDelay)
 	case g.guarded && !now.Before(g.guardedUntil):
 		g.guarded = false
 	}
 }
 
-// Status returns the state and guard of the endpoint.
+// Status returns the state of the endpoint and whether it is guarded.
 func (g *Gate) Status() (carawaycart.EndpointState, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.state, g.guarded
 }
 
-// LastReport returns the latest report and when it arrived.
+// LastReport returns the last load report and the time of its arrival. Before the
+// first one it returns the zero Report and the time at which the gate was created.
 func (g *Gate) LastReport() (carawaycart.Report, time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.report, g.heard
+	return g.lastReport, g.lastReportAt
 }
 
-// SpillFrom returns when flows may be opened elsewhere, or false while the
-// endpoint is not guarded.
-func (g *Gate) SpillFrom() (time.Time, bool) {
+// SpilloverStart returns the time from which flows may be admitted to other
+// endpoints. It returns false if the endpoint is not guarded.
+func (g *Gate) SpilloverStart() (time.Time, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.spillFrom, g.guarded
+	return g.spilloverStart, g.guarded
 }
 
-// AdmitFlow reports whether the endpoint may get a new flow at now, and counts
-// it if so.
+// AdmitFlow reports whether the endpoint may receive a new flow at now, and counts
+// the flow if so.
 func (g *Gate) AdmitFlow(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.admits(now) {
 		return false
 	}
-	g.opened++
-	g.coldOpened++
+	g.flowsSinceReport++
+	g.flowsSinceCold++
 	return true
 }
 
 func (g *Gate) admits(now time.Time) bool {
-	flows := g.report.Flows + g.opened
+	flows := g.lastReport.Flows + g.flowsSinceReport
 	switch g.state {
 	case carawaycart.EndpointUnknown, carawaycart.EndpointCold:
-		return g.coldOpened < g.profile.ColdFlows
+		return g.flowsSinceCold < g.profile.ColdFlows
 	case carawaycart.EndpointOpen:
-		return flows < g.endpoint.Flows && !now.Before(g.shedUntil) && g.coldOpened < g.allowance(now)
+		return flows < g.endpoint.Flows && !now.Before(g.shedUntil) && g.flowsSinceCold < g.warmupFlowLimit(now)
 	case carawaycart.EndpointSilent:
 		return flows < g.endpoint.Flows
 	}
 	return false
 }
 
-// allowance returns how many flows may have been opened since the endpoint was
-// known cold; it has no bound after the warm-up.
-func (g *Gate) allowance(now time.Time) int {
-	if !now.Before(g.warmUntil) {
+// warmupFlowLimit returns the limit at now of flows admitted since the endpoint
+// became cold. There is no limit after the warm-up.
+func (g *Gate) warmupFlowLimit(now time.Time) int {
+	if !now.Before(g.warmupEnd) {
 		return int(^uint(0) >> 1)
 	}
-	span := g.warmUntil.Sub(g.warmFrom)
-	passed := now.Sub(g.warmFrom)
-	return g.profile.ColdFlows + int(int64(g.endpoint.Flows)*int64(passed)/int64(span))
+	span := g.warmupEnd.Sub(g.warmupStart)
+	elapsed := now.Sub(g.warmupStart)
+	return g.profile.ColdFlows + int(int64(g.endpoint.Flows)*int64(elapsed)/int64(span))
 }
 
-// Acquire grants holder a request slot until deadline if one is free at now. A
-// repeated call for the same permit is granted again.
+// Acquire grants permit id to holder until deadline if a request slot is free at
+// now, and reports whether it did. It returns true for a permit that is already
+// held, so a call may be repeated.
 func (g *Gate) Acquire(id carawaycart.PermitID, holder carawaycart.InstanceID, deadline, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if _, ok := g.permits[id]; ok {
 		return true
 	}
-	g.expire(now)
-	if now.Before(g.grantFrom) || now.Before(g.shedUntil) || len(g.permits) >= g.slots() {
+	g.expirePermits(now)
+	if now.Before(g.acquireFrom) || now.Before(g.shedUntil) || len(g.permits) >= g.requestLimit() {
 		return false
 	}
 	g.permits[id] = permit{holder: holder, deadline: deadline}
 	return true
 }
 
-// Register takes in a permit that a previous keeper granted.
+// Register records a permit that a previous keeper granted.
 func (g *Gate) Register(id carawaycart.PermitID, holder carawaycart.InstanceID, deadline time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.permits[id] = permit{holder: holder, deadline: deadline}
 }
 
-func (g *Gate) slots() int {
+func (g *Gate) requestLimit() int {
 	switch g.state {
 	case carawaycart.EndpointUnknown, carawaycart.EndpointCold:
 		return min(g.profile.ColdRequests, g.endpoint.Slots)
@@ -234,7 +254,7 @@
 	return g.endpoint.Slots
 }
 
-func (g *Gate) expire(now time.Time) {
+func (g *Gate) expirePermits(now time.Time) {
 	for id, p := range g.permits {
 		if !now.Before(p.deadline) {
 			delete(g.permits, id)
@@ -242,19 +262,20 @@
 	}
 }
 
-// Release returns a request slot; shed tells that the endpoint refused the
-// request because it had no room.
+// Release frees the request slot of permit id at now. Shed means that the endpoint
+// refused the request because it was overloaded.
 func (g *Gate) Release(id carawaycart.PermitID, shed bool, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.permits, id)
 	if shed {
-		g.shedUntil = now.Add(shedPeriod)
+		g.shedUntil = now.Add(shedBackoff)
 	}
 }
 
-// Requests returns how many request slots are in use.
-func (g *Gate) Requests() int {
+// PermitCount returns the number of permits held, including expired ones that have
+// not been deleted yet.
+func (g *Gate) PermitCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.permits)
--- a/core/limit/gate_test.go
+++ b/core/limit/gate_test.go
@@ -9,14 +9,14 @@
 )
 
 var (
-	start   = time.Unix(1000, 0)
-	host    = carawaycart.Endpoint{ID: "e1", Flows: 100, Slots: 2}
-	profile = carawaycart.Profile{ColdFlows: 5, ColdRequests: 1, WarmupSeconds: 10}
+	start    = time.Unix(1000, 0)
+	endpoint = carawaycart.Endpoint{ID: "e1", Flows: 100, Slots: 2}
+	profile  = carawaycart.Profile{ColdFlows: 5, ColdRequests: 1, WarmupSeconds: 10}
 )
 
-func admitted(g *limit.Gate, tries int, now time.Time) int {
+func admitFlows(g *limit.Gate, attempts int, now time.Time) int {
 	n := 0
-	for range tries {
+	for range attempts {
 		if g.AdmitFlow(now) {
 			n++
 		}
@@ -34,7 +34,7 @@
 		now     time.Duration
 		want    int
 	}{
-		{"unknown endpoints count as cold", func(*limit.Gate) {}, 0, 5},
+		{"unknown, which counts as cold", func(*limit.Gate) {}, 0, 5},
 		{"cold", func(g *limit.Gate) { g.Observe(carawaycart.Report{Cold: true}, start) }, 0, 5},
 		{"at the start of the warm-up", warm, 0, 5},
 		{"half through the warm-up", warm, 5 * time.Second, 55},
@@ -43,7 +43,7 @@
 		{"shedding", func(g *limit.Gate) { g.Observe(carawaycart.Report{Shedding: true}, start) }, 0, 0},
 		{"cold again", func(g *limit.Gate) {
 			warm(g)
-			admitted(g, 3, start)
+			admitFlows(g, 3, start)
 			g.Observe(carawaycart.Report{Cold: true}, start)
 		}, 0, 5},
 		{"dead", func(g *limit.Gate) {
@@ -51,16 +51,16 @@
 			g.Missed(true, start)
 		}, 0, 0},
 	} {
-		g := limit.NewGate(host, profile, carawaycart.EndpointStatus{}, start)
+		g := limit.NewGate(endpoint, profile, carawaycart.EndpointStatus{}, start)
 		test.prepare(g)
-		if got := admitted(g, 200, start.Add(test.now)); got != test.want {
+		if got := admitFlows(g, 200, start.Add(test.now)); got != test.want {
 			t.Errorf("%s: got %d flows admitted, want %d", test.name, got, test.want)
 		}
 	}
 }
 
-func TestSilenceIsSeenAtOnce(t *testing.T) {
-	g := limit.NewGate(host, profile, carawaycart.EndpointStatus{}, start)
+func TestEndpointIsSilentAfterReportTimeout(t *testing.T) {
+	g := limit.NewGate(endpoint, profile, carawaycart.EndpointStatus{}, start)
 	g.Observe(carawaycart.Report{}, start)
 	g.Missed(false, start.Add(time.Second))
 	if s, _ := g.Status(); s != carawaycart.EndpointOpen {
@@ -72,48 +72,51 @@
 	}
 }
 
-// A new keeper cannot know how much of a cold endpoint's allowance is used.
-func TestNewKeeperOfAColdEndpointAdmitsNothing(t *testing.T) {
+// Guards against overloading a cold endpoint after a change of its keeper: the new
+// keeper does not know how much of the cold allowance is used.
+func TestNewKeeperOfColdEndpointAdmitsNoFlow(t *testing.T) {
 	inherited := carawaycart.EndpointStatus{Version: 3, State: carawaycart.EndpointCold}
-	g := limit.NewGate(host, profile, inherited, start)
-	if n := admitted(g, 10, start); n != 0 {
+	g := limit.NewGate(endpoint, profile, inherited, start)
+	if n := admitFlows(g, 10, start); n != 0 {
 		t.Errorf("got %d flows admitted, want 0", n)
 	}
 }
 
-// A slot that is clean by its table may have flows elsewhere; the guard says so.
-func TestInheritedGuardOutlivesTheTakeover(t *testing.T) {
+// Guards against forwarding flows to the wrong endpoint after a change of keeper:
+// other endpoints may own flows of a slot that is clean by its table, and only the
+// guard directs their packets to the keeper.
+func TestInheritedGuardIsKeptAfterTakeover(t *testing.T) {
 	inherited := carawaycart.EndpointStatus{Version: 3, State: carawaycart.EndpointOpen, Guarded: true}
-	g := limit.NewGate(host, profile, inherited, start)
+	g := limit.NewGate(endpoint, profile, inherited, start)
 	g.Guard(false, start)
 	if _, guarded := g.Status(); !guarded {
-		t.Fatal("the guard was dropped at the takeover")
+		t.Fatal("the guard was removed at the takeover")
 	}
 	g.Guard(true, start.Add(time.Second))
 	g.Guard(false, start.Add(2*time.Second))
 	if _, guarded := g.Status(); !guarded {
-		t.Error("the guard was dropped while flows may still pass elsewhere")
+		t.Error("the guard was removed while other endpoints may still own flows")
 	}
 	g.Guard(false, start.Add(5*time.Second))
 	if _, guarded := g.Status(); guarded {
-		t.Error("the guard was kept without a reason")
+		t.Error("the guard was kept after its minimum duration without exceptions")
 	}
 }
 
-func TestSpillWaitsUntilTheGuardIsKnown(t *testing.T) {
-	g := limit.NewGate(host, profile, carawaycart.EndpointStatus{}, start)
-	if _, ok := g.SpillFrom(); ok {
-		t.Error("spill without a guard")
+func TestSpilloverStartsAfterGuardIsPropagated(t *testing.T) {
+	g := limit.NewGate(endpoint, profile, carawaycart.EndpointStatus{}, start)
+	if _, ok := g.SpilloverStart(); ok {
+		t.Error("got a spillover start for an endpoint that is not guarded")
 	}
 	g.Guard(false, start) // an unknown endpoint is guarded
-	from, ok := g.SpillFrom()
+	from, ok := g.SpilloverStart()
 	if !ok || !from.After(start.Add(time.Second)) {
-		t.Errorf("got spill from %v, %t; want more than a second after the guard", from, ok)
+		t.Errorf("got spillover start %v, %t; want more than 1 s after the guard", from, ok)
 	}
 }
 
 func TestAcquire(t *testing.T) {
-	g := limit.NewGate(host, profile, carawaycart.EndpointStatus{}, start)
+	g := limit.NewGate(endpoint, profile, carawaycart.EndpointStatus{}, start)
 	g.Observe(carawaycart.Report{}, start)
 	deadline := start.Add(time.Second)
 	for _, test := range []struct {
@@ -124,9 +127,9 @@
 	}{
 		{"first slot", "p1", 0, true},
 		{"second slot", "p2", 0, true},
-		{"no third slot", "p3", 0, false},
-		{"repeat of a granted one", "p1", 0, true},
-		{"after the deadline of others", "p4", time.Second, true},
+		{"third of two slots", "p3", 0, false},
+		{"repeat of a granted permit", "p1", 0, true},
+		{"after the deadline of the other permits", "p4", time.Second, true},
 	} {
 		if got := g.Acquire(test.id, "i1", deadline, start.Add(test.now)); got != test.want {
 			t.Errorf("%s: got %t, want %t", test.name, got, test.want)
@@ -134,21 +137,21 @@
 	}
 	g.Release("p4", true, start.Add(time.Second))
 	if g.Acquire("p5", "i1", deadline.Add(time.Hour), start.Add(1100*time.Millisecond)) {
-		t.Error("an endpoint that shed a request got another at once")
+		t.Error("granted a permit 100 ms after the endpoint shed a request")
 	}
 }
 
-func TestNewKeeperLearnsOfPermitsFirst(t *testing.T) {
+func TestNewKeeperWaitsForPermitRegistration(t *testing.T) {
 	inherited := carawaycart.EndpointStatus{Version: 1, State: carawaycart.EndpointOpen}
-	g := limit.NewGate(host, profile, inherited, start)
+	g := limit.NewGate(endpoint, profile, inherited, start)
 	deadline := start.Add(time.Minute)
 	if g.Acquire("p1", "i1", deadline, start) {
-		t.Error("granted before holders could register")
+		t.Error("granted a permit before holders could register theirs")
 	}
 	g.Register("old1", "i2", deadline)
 	g.Register("old2", "i3", deadline)
 	if g.Acquire("p1", "i1", deadline, start.Add(2*time.Second)) {
-		t.Error("granted a third slot of two")
+		t.Error("granted a third permit for two request slots")
 	}
 }
 
