--- a/core/config/apply.go
+++ b/core/config/apply.go
@@ -11,59 +11,63 @@
 	"carawaycart/core/slot"
 )
 
-// Settlement is the After value of a change of kind settle: bases without flows
-// that give way to the current endpoints of their slots.
+// Settlement is the After value of a change of kind settle. It replaces bases that
+// own no more flows by the current endpoints of their slots.
 type Settlement struct {
 	Moves []Move `json:"moves"`
 }
 
-// Move lets the given slots take current as their base, as far as their base
-// and current endpoints are still the stated ones.
+// Move replaces the base of the given slots by their current endpoint. Slots whose
+// base or current endpoint differs from the given ones are ignored.
 type Move struct {
 	Base    carawaycart.EndpointID  `json:"base"`
 	Current carawaycart.EndpointID  `json:"current"`
 	Slots   []carawaycart.SlotIndex `json:"slots"`
 }
 
-// Apply returns the configuration that follows c by change. The error is
-// NotValid if change does not follow c's revision or breaks a rule.
+// Apply returns the configuration that results from applying change to c. The error
+// is NotValid if the revision of change is not the next one or its object kind or
+// value is invalid. It is NotFound or AlreadyExists if an object that change
+// refers to is absent or conflicts, and NotSupported for the deletion of a zone.
 func (c *Configuration) Apply(change carawaycart.Change) (*Configuration, error) {
 	if change.Revision != c.Revision+1 {
-		return nil, errors.NotValidf("revision %d after %d", change.Revision, c.Revision)
+		return nil, errors.NotValidf("change of revision %d for configuration of revision %d", change.Revision, c.Revision)
 	}
 	n := *c
-	n.work = &work{touched: make(map[carawaycart.ServiceID]struct{})}
+	n.applyState = &applyState{changedServices: make(map[carawaycart.ServiceID]struct{})}
 	if err := n.applyObject(change); err != nil {
 		return nil, errors.Annotatef(err, "revision %d", change.Revision)
 	}
-	own(&n.Slots, &n.work.slots)
-	for id := range n.work.touched {
-		n.reassign(id)
+	cloneOnce(&n.Slots, &n.applyState.slots)
+	for id := range n.applyState.changedServices {
+		n.reassignSlots(id)
 	}
-	n.work = nil
+	n.applyState = nil
 	n.Revision = change.Revision
 	n.LastID = change.ID
 	return &n, nil
 }
 
-// work is what Apply keeps track of: the maps that are the new configuration's
-// own, and the services whose slots must be assigned anew.
-type work struct {
+// applyState is the working state of Apply.
+type applyState struct {
+	// The flags are set for the maps that have been cloned from the previous
+	// configuration.
 	profiles, services, endpoints, zones, slots, members bool
 
-	touched map[carawaycart.ServiceID]struct{}
+	changedServices map[carawaycart.ServiceID]struct{} // their slots must be reassigned
 }
 
-// own replaces a map that is shared with the previous configuration by a copy.
-func own[K comparable, V any](m *map[K]V, owned *bool) {
-	if !*owned {
+// cloneOnce replaces the map m, which is shared with the previous configuration, by
+// a copy and sets cloned. It does nothing if cloned is set.
+func cloneOnce[K comparable, V any](m *map[K]V, cloned *bool) {
+	if !*cloned {
 		*m = maps.Clone(*m)
-		*owned = true
+		*cloned = true
 	}
 }
 
-// applyObject changes c, and notes the services whose slots must be assigned
-// anew.
+// applyObject applies change to c and records the services whose slots must be
+// reassigned.
 func (c *Configuration) applyObject(change carawaycart.Change) error {
 	switch change.Kind {
 	case carawaycart.KindProfile:
@@ -77,14 +81,15 @@
 	case carawaycart.KindBundle:
 		return c.applyBundle(change)
 	case carawaycart.KindSettle:
-		return c.applySettle(change)
+		return c.applySettlement(change)
 	}
 	return errors.NotValidf("object kind %q", change.Kind)
 }
 
-// Bundle is the After value of a change of kind bundle: objects to create or
-// replace. Endpoints of a service that is new take its slots at once, without
-// the handover that endpoints added one after another need.
+// Bundle is the After value of a change of kind bundle, which creates or replaces
+// several objects. The slots of a new service are divided among all its endpoints
+// in the bundle, so they are clean. Endpoints added in separate changes leave
+// slots whose base is an earlier endpoint.
 type Bundle struct {
 	Profiles  []carawaycart.Profile  `json:"profiles,omitempty"`
 	Zones     []carawaycart.Zone     `json:"zones,omitempty"`
@@ -98,29 +103,29 @@
 		return err
 	}
 	for _, p := range b.Profiles {
-		if err := c.applyOne(carawaycart.KindProfile, string(p.Name), p); err != nil {
+		if err := c.applyBundled(carawaycart.KindProfile, string(p.Name), p); err != nil {
 			return err
 		}
 	}
 	for _, z := range b.Zones {
-		if err := c.applyOne(carawaycart.KindZone, string(z.ID), z); err != nil {
+		if err := c.applyBundled(carawaycart.KindZone, string(z.ID), z); err != nil {
 			return err
 		}
 	}
 	for _, s := range b.Services {
-		if err := c.applyOne(carawaycart.KindService, string(s.ID), s); err != nil {
+		if err := c.applyBundled(carawaycart.KindService, string(s.ID), s); err != nil {
 			return err
 		}
 	}
 	for _, e := range b.Endpoints {
-		if err := c.applyOne(carawaycart.KindEndpoint, string(e.ID), e); err != nil {
+		if err := c.applyBundled(carawaycart.KindEndpoint, string(e.ID), e); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Configuration) applyOne(kind carawaycart.ObjectKind, name string, object any) error {
+func (c *Configuration) applyBundled(kind carawaycart.ObjectKind, name string, object any) error {
 	after, err := json.Marshal(object)
 	if err != nil {
 		return errors.Annotatef(err, "%s %s", kind, name)
@@ -128,10 +133,10 @@
 	return c.applyObject(carawaycart.Change{Kind: kind, Name: name, After: after})
 }
 
-// Next returns the configuration that follows c by change. A change that Apply
-// refuses leaves everything but the revision as it is, on every instance alike,
-// and Next returns its error besides; the result is nil only if change does not
-// follow c's revision.
+// Next returns the configuration that results from applying change to c. If Apply
+// rejects change, Next returns c with the revision and ID of change, together with
+// the error of Apply, so that all instances skip the change alike. It returns nil
+// and an error if the revision of change is not the next one.
 func (c *Configuration) Next(change carawaycart.Change) (*Configuration, error) {
 	n, err := c.Apply(change)
 	if err == nil || change.Revision != c.Revision+1 {
@@ -143,7 +148,8 @@
 	return &skipped, err
 }
 
-// decode reads change.After into v and reports whether the object is deleted.
+// decode decodes change.After into v. It returns true if After is empty or null,
+// which deletes the object.
 func decode(change carawaycart.Change, v any) (deleted bool, err error) {
 	if len(change.After) == 0 || string(change.After) == "null" {
 		return true, nil
@@ -151,9 +157,9 @@
 	return false, DecodeStrict(change.After, v)
 }
 
-func checkName[N ~string](change carawaycart.Change, name N) error {
+func validateNameMatches[N ~string](change carawaycart.Change, name N) error {
 	if string(name) != change.Name {
-		return errors.NotValidf("%s %q under name %q", change.Kind, name, change.Name)
+		return errors.NotValidf("%s %q in a change for name %q", change.Kind, name, change.Name)
 	}
 	return nil
 }
@@ -165,17 +171,17 @@
 		return err
 	}
 	name := carawaycart.ProfileName(change.Name)
-	own(&c.Profiles, &c.work.profiles)
+	cloneOnce(&c.Profiles, &c.applyState.profiles)
 	if deleted {
 		for id, s := range c.Services {
 			if s.Profile == name {
-				return errors.NotValidf("deletion of profile %s, which service %s uses", name, id)
+				return errors.NotValidf("deletion of profile %s in use by service %s", name, id)
 			}
 		}
 		delete(c.Profiles, name)
 		return nil
 	}
-	if err := checkName(change, p.Name); err != nil {
+	if err := validateNameMatches(change, p.Name); err != nil {
 		return err
 	}
 	if err := ValidateProfile(p); err != nil {
@@ -192,17 +198,17 @@
 		return err
 	}
 	id := carawaycart.ServiceID(change.Name)
-	own(&c.Services, &c.work.services)
-	own(&c.Slots, &c.work.slots)
+	cloneOnce(&c.Services, &c.applyState.services)
+	cloneOnce(&c.Slots, &c.applyState.slots)
 	if deleted {
 		if len(c.members[id]) > 0 {
-			return errors.NotValidf("deletion of service %s, which has endpoints", id)
+			return errors.NotValidf("deletion of service %s with endpoints", id)
 		}
 		delete(c.Services, id)
 		delete(c.Slots, id)
 		return nil
 	}
-	if err := checkName(change, s.ID); err != nil {
+	if err := validateNameMatches(change, s.ID); err != nil {
 		return err
 	}
 	if err := c.validateService(s); err != nil {
@@ -222,22 +228,22 @@
 		return err
 	}
 	id := carawaycart.EndpointID(change.Name)
-	old, existed := c.Endpoints[id]
+	previous, existed := c.Endpoints[id]
 	if deleted {
 		if !existed {
 			return errors.NotFoundf("endpoint %s", id)
 		}
-		e = old
+		e = previous
 	} else {
-		if err := checkName(change, e.ID); err != nil {
+		if err := validateNameMatches(change, e.ID); err != nil {
 			return err
 		}
 		if err := c.validateEndpoint(e); err != nil {
 			return err
 		}
 	}
-	own(&c.Endpoints, &c.work.endpoints)
-	own(&c.members, &c.work.members)
+	cloneOnce(&c.Endpoints, &c.applyState.endpoints)
+	cloneOnce(&c.members, &c.applyState.members)
 	members := slices.DeleteFunc(slices.Clone(c.members[e.Service]), func(m carawaycart.EndpointID) bool { return m == id })
 	if deleted {
 		delete(c.Endpoints, id)
@@ -247,7 +253,7 @@
 		slices.Sort(members)
 	}
 	c.members[e.Service] = members
-	c.work.touched[e.Service] = struct{}{}
+	c.applyState.changedServices[e.Service] = struct{}{}
 	return nil
 }
 
@@ -261,23 +267,23 @@
 	if deleted {
 		return errors.NotSupportedf("deletion of zone %s", id)
 	}
-	if err := checkName(change, z.ID); err != nil {
+	if err := validateNameMatches(change, z.ID); err != nil {
 		return err
 	}
 	if err := ValidateName(string(z.ID)); err != nil {
 		return errors.Annotate(err, "zone")
 	}
-	own(&c.Zones, &c.work.zones)
+	cloneOnce(&c.Zones, &c.applyState.zones)
 	c.Zones[id] = z
 	for s, members := range c.members {
 		if slices.ContainsFunc(members, func(e carawaycart.EndpointID) bool { return c.Endpoints[e].Zone == id }) {
-			c.work.touched[s] = struct{}{}
+			c.applyState.changedServices[s] = struct{}{}
 		}
 	}
 	return nil
 }
 
-func (c *Configuration) applySettle(change carawaycart.Change) error {
+func (c *Configuration) applySettlement(change carawaycart.Change) error {
 	var s Settlement
 	if _, err := decode(change, &s); err != nil {
 		return err
@@ -287,7 +293,7 @@
 	if !ok {
 		return errors.NotFoundf("service %s", id)
 	}
-	own(&c.Slots, &c.work.slots)
+	cloneOnce(&c.Slots, &c.applyState.slots)
 	for _, m := range s.Moves {
 		t = slot.ReplaceBase(t, m.Base, m.Current, m.Slots)
 	}
@@ -295,9 +301,9 @@
 	return nil
 }
 
-// reassign computes the slots of service id anew from its accepting endpoints.
-// When none accepts, the slots keep the endpoints that may still hold flows.
-func (c *Configuration) reassign(id carawaycart.ServiceID) {
+// reassignSlots assigns the slots of service id to its accepting endpoints. If there
+// are none, the slots keep the endpoints that may still own flows.
+func (c *Configuration) reassignSlots(id carawaycart.ServiceID) {
 	members := c.members[id]
 	var candidates []slot.Candidate
 	for _, m := range members {
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -9,20 +9,21 @@
 	"carawaycart"
 )
 
-// Configuration is everything that operators have decided, at one revision.
+// Configuration holds all objects that operators have configured, and the slots
+// computed from them, at one revision. It is immutable.
 type Configuration struct {
-	Revision  carawaycart.Revision                               `json:"revision"`
-	LastID    carawaycart.ChangeID                               `json:"lastChangeId"`
-	Profiles  map[carawaycart.ProfileName]carawaycart.Profile    `json:"profiles"`
-	Services  map[carawaycart.ServiceID]carawaycart.Service      `json:"services"`
-	Endpoints map[carawaycart.EndpointID]carawaycart.Endpoint    `json:"endpoints"`
-	Zones     map[carawaycart.ZoneID]carawaycart.Zone            `json:"zones"`
-	Slots     map[carawaycart.ServiceID]carawaycart.SlotTable    `json:"slots"`
-	members   map[carawaycart.ServiceID][]carawaycart.EndpointID // endpoints of each service, sorted
-	work      *work                                              // during Apply only
+	Revision   carawaycart.Revision                               `json:"revision"`
+	LastID     carawaycart.ChangeID                               `json:"lastChangeId"`
+	Profiles   map[carawaycart.ProfileName]carawaycart.Profile    `json:"profiles"`
+	Services   map[carawaycart.ServiceID]carawaycart.Service      `json:"services"`
+	Endpoints  map[carawaycart.EndpointID]carawaycart.Endpoint    `json:"endpoints"`
+	Zones      map[carawaycart.ZoneID]carawaycart.Zone            `json:"zones"`
+	Slots      map[carawaycart.ServiceID]carawaycart.SlotTable    `json:"slots"`
+	members    map[carawaycart.ServiceID][]carawaycart.EndpointID // endpoints of each service, sorted
+	applyState *applyState                                        // nil except during Apply
 }
 
-// New returns the configuration at revision zero, which holds the built-in
+// New returns the configuration at revision zero, which contains only the built-in
 // profiles.
 func New() *Configuration {
 	c := &Configuration{
@@ -33,14 +34,14 @@
 		Slots:     make(map[carawaycart.ServiceID]carawaycart.SlotTable),
 		members:   make(map[carawaycart.ServiceID][]carawaycart.EndpointID),
 	}
-	for _, p := range BuiltIn() {
+	for _, p := range BuiltInProfiles() {
 		c.Profiles[p.Name] = p
 	}
 	return c
 }
 
-// BuiltIn returns the profiles that every configuration begins with.
-func BuiltIn() []carawaycart.Profile {
+// BuiltInProfiles returns the profiles that New puts into a configuration.
+func BuiltInProfiles() []carawaycart.Profile {
 	return []carawaycart.Profile{
 		{
 			Name: "gentle", ColdFlows: 20, ColdRequests: 1, WarmupSeconds: 60, DrainSeconds: 4 * 3600,
@@ -55,7 +56,8 @@
 	}
 }
 
-// Decode returns the configuration encoded in data by Encode.
+// Decode returns the configuration encoded in data by Encode. The error is NotValid
+// if data has another form or a service has no slots.
 func Decode(data []byte) (*Configuration, error) {
 	c := New()
 	if err := DecodeStrict(data, c); err != nil {
@@ -81,26 +83,29 @@
 	return data, errors.Annotate(err, "encode snapshot")
 }
 
-// ServiceEndpoints returns the identifiers of the endpoints of service id in
-// order; the slice must not be modified.
+// ServiceEndpoints returns the sorted identifiers of the endpoints of service id.
+// The slice must not be modified.
 func (c *Configuration) ServiceEndpoints(id carawaycart.ServiceID) []carawaycart.EndpointID {
 	return c.members[id]
 }
 
-// Accepting reports whether endpoint id may get new work by its mark and zone.
+// Accepting reports whether endpoint id may receive new flows and requests: it
+// exists, has no mark, and its zone is not taken out.
 func (c *Configuration) Accepting(id carawaycart.EndpointID) bool {
 	e, ok := c.Endpoints[id]
 	return ok && e.Mark == carawaycart.MarkNone && !c.Zones[e.Zone].Out
 }
 
-// Holding reports whether endpoint id may still own flows.
+// Holding reports whether endpoint id may own flows: it exists, is not marked as
+// ended, and its zone is not taken out.
 func (c *Configuration) Holding(id carawaycart.EndpointID) bool {
 	e, ok := c.Endpoints[id]
 	return ok && e.Mark != carawaycart.MarkEnded && !c.Zones[e.Zone].Out
 }
 
-// Current returns the encoded object that a change of kind and name would
-// replace, or nil if there is none.
+// Current returns the JSON encoding of the object of the given kind and name, or nil
+// if there is none. It returns nil for the kinds settle and bundle, which do not
+// name an object. The error is NotValid for an unknown kind.
 func (c *Configuration) Current(kind carawaycart.ObjectKind, name string) (json.RawMessage, error) {
 	var v any
 	var ok bool
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -11,8 +11,8 @@
 	"carawaycart/core/config"
 )
 
-// apply returns the configuration that follows c by putting object at kind and
-// name; a nil object deletes it.
+// apply applies a change to c that sets the object of the given kind and name, or
+// deletes it if object is nil.
 func apply(c *config.Configuration, kind carawaycart.ObjectKind, name string, object any) (*config.Configuration, error) {
 	var after json.RawMessage
 	if object != nil {
@@ -27,8 +27,8 @@
 	}
 }
 
-// site returns a configuration with one service and four endpoints in two zones.
-func site(t *testing.T) *config.Configuration {
+// newSite returns a configuration with one service and four endpoints in two zones.
+func newSite(t *testing.T) *config.Configuration {
 	t.Helper()
 	c := config.New()
 	put := func(kind carawaycart.ObjectKind, name string, object any) {
@@ -49,7 +49,7 @@
 	return c
 }
 
-func owners(c *config.Configuration, slots func(carawaycart.SlotTable) []uint16) map[carawaycart.EndpointID]int {
+func slotCounts(c *config.Configuration, slots func(carawaycart.SlotTable) []uint16) map[carawaycart.EndpointID]int {
 	table := c.Slots["desk"]
 	n := make(map[carawaycart.EndpointID]int)
 	for _, m := range slots(table) {
@@ -60,66 +60,66 @@
 	return n
 }
 
-func bases(t carawaycart.SlotTable) []uint16    { return t.Base }
-func currents(t carawaycart.SlotTable) []uint16 { return t.Current }
+func baseOf(t carawaycart.SlotTable) []uint16    { return t.Base }
+func currentOf(t carawaycart.SlotTable) []uint16 { return t.Current }
 
-func TestLeavingEndpointLosesSlotsButNotBases(t *testing.T) {
-	c := site(t)
-	before := owners(c, bases)["e1"]
+func TestLeavingEndpointKeepsOnlyBases(t *testing.T) {
+	c := newSite(t)
+	before := slotCounts(c, baseOf)["e1"]
 	e := endpoint("e1", "a")
 	e.Mark = carawaycart.MarkLeaving
 	c, err := apply(c, carawaycart.KindEndpoint, "e1", e)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := owners(c, currents)["e1"]; n != 0 {
+	if n := slotCounts(c, currentOf)["e1"]; n != 0 {
 		t.Errorf("got %d slots for new flows, want 0", n)
 	}
-	if n := owners(c, bases)["e1"]; n != before {
-		t.Errorf("got %d bases, want %d as before", n, before)
+	if n := slotCounts(c, baseOf)["e1"]; n != before {
+		t.Errorf("got %d bases, want the %d before the change", n, before)
 	}
 }
 
-func TestZoneOutTakesBasesAndZoneBackDoesNotReturnThem(t *testing.T) {
-	c := site(t)
+func TestZoneTakenOutLosesBasesForGood(t *testing.T) {
+	c := newSite(t)
 	c, err := apply(c, carawaycart.KindZone, "a", carawaycart.Zone{ID: "a", Out: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []carawaycart.EndpointID{"e1", "e2"} {
-		if n := owners(c, bases)[id] + owners(c, currents)[id]; n != 0 {
-			t.Errorf("zone out: got %d slots for %s, want 0", n, id)
+		if n := slotCounts(c, baseOf)[id] + slotCounts(c, currentOf)[id]; n != 0 {
+			t.Errorf("zone taken out: got %d slots for %s, want 0", n, id)
 		}
 	}
 	c, err = apply(c, carawaycart.KindZone, "a", carawaycart.Zone{ID: "a"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := owners(c, currents)["e1"]; n == 0 {
-		t.Error("zone back: got no slots for e1, want its share")
+	if n := slotCounts(c, currentOf)["e1"]; n == 0 {
+		t.Error("zone added again: got no slots for e1, want its share")
 	}
-	if n := owners(c, bases)["e1"]; n != 0 {
-		t.Errorf("zone back: got %d bases for e1, whose flows ended with the zone; want 0", n)
+	if n := slotCounts(c, baseOf)["e1"]; n != 0 {
+		t.Errorf("zone added again: got %d bases for e1, whose flows ended when the zone was taken out; want 0", n)
 	}
 }
 
-func TestApplyRefuses(t *testing.T) {
+func TestApplyRejectsInvalidChanges(t *testing.T) {
 	bad := endpoint("e9", "nowhere")
 	for _, test := range []struct {
 		name   string
 		change carawaycart.Change
 		is     error
 	}{
-		{"gap", carawaycart.Change{Revision: 99, Kind: carawaycart.KindZone, Name: "c", After: json.RawMessage(`{"id":"c"}`)}, errors.NotValid},
+		{"revision gap", carawaycart.Change{Revision: 99, Kind: carawaycart.KindZone, Name: "c", After: json.RawMessage(`{"id":"c"}`)}, errors.NotValid},
 		{"unknown kind", carawaycart.Change{Kind: "colour", Name: "c"}, errors.NotValid},
 		{"unknown field", carawaycart.Change{Kind: carawaycart.KindZone, Name: "c", After: json.RawMessage(`{"id":"c","colour":1}`)}, errors.NotValid},
-		{"other name", carawaycart.Change{Kind: carawaycart.KindZone, Name: "c", After: json.RawMessage(`{"id":"d"}`)}, errors.NotValid},
+		{"name of another object", carawaycart.Change{Kind: carawaycart.KindZone, Name: "c", After: json.RawMessage(`{"id":"d"}`)}, errors.NotValid},
 		{"unknown zone", carawaycart.Change{Kind: carawaycart.KindEndpoint, Name: "e9", After: must(json.Marshal(bad))}, errors.NotFound},
 		{"missing endpoint", carawaycart.Change{Kind: carawaycart.KindEndpoint, Name: "e9"}, errors.NotFound},
 		{"profile in use", carawaycart.Change{Kind: carawaycart.KindProfile, Name: "gentle"}, errors.NotValid},
 		{"service in use", carawaycart.Change{Kind: carawaycart.KindService, Name: "desk"}, errors.NotValid},
 	} {
-		c := site(t)
+		c := newSite(t)
 		if test.change.Revision == 0 {
 			test.change.Revision = c.Revision + 1
 		}
@@ -137,20 +137,21 @@
 	return data
 }
 
-func TestNextSkipsACorruptEntry(t *testing.T) {
-	c := site(t)
+func TestNextSkipsInvalidChange(t *testing.T) {
+	c := newSite(t)
 	n, err := c.Next(carawaycart.Change{Revision: c.Revision + 1, Kind: "corrupt"})
 	if err == nil || n == nil || n.Revision != c.Revision+1 || len(n.Endpoints) != 4 {
-		t.Fatalf("got %v, %v; want an error and the old objects under the next revision", n, err)
+		t.Fatalf("got %v, %v; want an error and the unchanged objects at the next revision", n, err)
 	}
 	if n, err := c.Next(carawaycart.Change{Revision: c.Revision + 2, Kind: "corrupt"}); n != nil || err == nil {
-		t.Fatalf("gap: got %v, %v; want nil and an error", n, err)
+		t.Fatalf("revision gap: got %v, %v; want nil and an error", n, err)
 	}
 }
 
-// Endpoints added one after another leave slots with the first one's base;
-// those of one bundle do not.
-func TestBundleStartsClean(t *testing.T) {
+// Guards against a new service that starts with dirty slots: endpoints added in
+// separate changes leave slots whose base is an earlier endpoint, those of one
+// bundle must not.
+func TestBundleOfNewServiceLeavesSlotsClean(t *testing.T) {
 	c, err := apply(config.New(), carawaycart.KindBundle, "site", config.Bundle{
 		Zones: []carawaycart.Zone{{ID: "a"}, {ID: "b"}},
 		Services: []carawaycart.Service{{
@@ -162,21 +163,21 @@
 		t.Fatal(err)
 	}
 	for _, id := range []carawaycart.EndpointID{"e1", "e2"} {
-		if b, n := owners(c, bases)[id], owners(c, currents)[id]; b != n || n == 0 {
-			t.Errorf("%s: got %d bases and %d slots, want the same", id, b, n)
+		if b, n := slotCounts(c, baseOf)[id], slotCounts(c, currentOf)[id]; b != n || n == 0 {
+			t.Errorf("%s: got %d bases and %d current slots, want equal numbers above 0", id, b, n)
 		}
 	}
 	bad := config.Bundle{Zones: []carawaycart.Zone{{ID: "c"}}, Endpoints: []carawaycart.Endpoint{endpoint("e3", "nowhere")}}
 	if n, err := apply(c, carawaycart.KindBundle, "site", bad); n != nil || !errors.Is(err, errors.NotFound) {
-		t.Errorf("got %v, %v; want a bundle with one bad object refused as a whole", n, err)
+		t.Errorf("got %v, %v; want a bundle with an invalid object rejected as a whole", n, err)
 	}
 	if _, ok := c.Zones["c"]; ok {
-		t.Error("a refused bundle left an object behind")
+		t.Error("an object of a rejected bundle was added")
 	}
 }
 
 func TestSnapshotRoundTrip(t *testing.T) {
-	c := site(t)
+	c := newSite(t)
 	data, err := c.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -193,11 +194,11 @@
 		t.Fatal(err1, err2)
 	}
 	if string(must(want.Encode())) != string(must(have.Encode())) {
-		t.Error("a change after the snapshot gives another configuration than one without")
+		t.Error("a change applied to the decoded snapshot gives a different configuration")
 	}
 }
 
-func TestDecodeRefusesDamage(t *testing.T) {
+func TestDecodeRejectsDamagedSnapshot(t *testing.T) {
 	for _, text := range []string{``, `{`, `{"colour":1}`, `{"services":{"desk":{"id":"desk"}}}`, `null extra`} {
 		if _, err := config.Decode([]byte(text)); err == nil {
 			t.Errorf("%q: got no error", text)
--- a/core/config/doc.go
+++ b/core/config/doc.go
@@ -1,9 +1,9 @@
-// Package config holds the configuration that operators edit and applies the
-// change log to it.
+// Package config holds the configuration that operators edit, and applies the
+// changes of the change log to it.
 //
-// A Configuration is immutable. Apply returns the next one and is a pure
-// function of the previous one and the change, including the slot tables of the
-// services, so every instance that has applied the same revisions holds the
-// same tables. A change that does not follow the configuration's revision, or
-// does not validate, is refused and the configuration stays as it was.
+// A Configuration is immutable. Apply returns the next configuration, including
+// the slot tables of the services. It is a pure function of the previous
+// configuration and the change, so all instances that have applied the same
+// revisions hold the same tables. A change whose revision is not the next one, or
+// that is invalid, is rejected and the configuration is unchanged.
 package config
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -10,7 +10,7 @@
 	"carawaycart"
 )
 
-// Upper bounds of numbers in configuration objects.
+// Upper limits of numbers in configuration objects.
 const (
 	maxCount   = 1_000_000
 	maxSeconds = 7 * 24 * 3600
@@ -19,8 +19,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 
-// DecodeStrict decodes one JSON object into v and refuses unknown fields and
-// trailing data.
+// DecodeStrict decodes one JSON object into v. The error is NotValid if data is not
+// valid JSON, has unknown fields, or has data after the object.
 func DecodeStrict(data []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
@@ -28,12 +28,12 @@
 		return errors.NewNotValid(err, "decode object")
 	}
 	if d.More() {
-		return errors.NotValidf("data after the object")
+		return errors.NotValidf("trailing data after the JSON object")
 	}
 	return nil
 }
 
-// ValidateName returns an error that is NotValid unless name may name an object.
+// ValidateName returns a NotValid error unless name is a valid object name.
 func ValidateName(name string) error {
 	if !namePattern.MatchString(name) {
 		return errors.NotValidf("name %q (want 1 to 63 of a-z, 0-9, '.', '-', beginning with a letter or digit)", name)
@@ -41,14 +41,14 @@
 	return nil
 }
 
-type bound struct {
+type intRange struct {
 	field    string
 	value    int
 	min, max int
 }
 
-func validateBounds(bounds []bound) error {
-	for _, b := range bounds {
+func validateRanges(ranges []intRange) error {
+	for _, b := range ranges {
 		if b.value < b.min || b.value > b.max {
 			return errors.NotValidf("%s = %d (want %d to %d)", b.field, b.value, b.min, b.max)
 		}
@@ -56,13 +56,13 @@
 	return nil
 }
 
-// ValidateProfile returns an error that is NotValid unless every value of p is
-// in range.
+// ValidateProfile returns a NotValid error unless the name of p is valid and all its
+// values are in range.
 func ValidateProfile(p carawaycart.Profile) error {
 	if err := ValidateName(string(p.Name)); err != nil {
 		return errors.Annotate(err, "profile")
 	}
-	return errors.Annotatef(validateBounds([]bound{
+	return errors.Annotatef(validateRanges([]intRange{
 		{"coldFlows", p.ColdFlows, 0, maxCount},
 		{"coldRequests", p.ColdRequests, 0, maxCount},
 		{"warmupSeconds", int(p.WarmupSeconds), 0, maxSeconds},
@@ -112,9 +112,9 @@
 		return errors.NotValidf("endpoint %s: mark %q", e.ID, e.Mark)
 	}
 	if !e.FlowAddress.IsValid() && !e.RequestAddress.IsValid() {
-		return errors.NotValidf("endpoint %s: no flowAddress and no requestAddress", e.ID)
+		return errors.NotValidf("endpoint %s without flowAddress and requestAddress", e.ID)
 	}
-	return errors.Annotatef(validateBounds([]bound{
+	return errors.Annotatef(validateRanges([]intRange{
 		{"flows", e.Flows, 1, maxCount},
 		{"slots", e.Slots, 0, maxCount},
 	}), "endpoint %s", e.ID)
--- a/core/limit/budget.go
+++ b/core/limit/budget.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxBudgetTokens = 10.0 // largest burst of retries
+	maxBudgetTokens = 10.0 // largest burst of retries, available after an idle period
 	percent         = 100.0
 )
 
--- a/internal/configtest/doc.go
+++ b/internal/configtest/doc.go
@@ -1,2 +1,2 @@
-// Package configtest helps tests to build configurations.
+// Package configtest builds configurations for tests.
 package configtest
