--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -96,10 +96,10 @@
 		t.Fatal(err)
 	}
 	if n := slotCounts(c, currentOf)["e1"]; n == 0 {
-		t.Error("zone added again: got no slots for e1, want its share")
+		t.Error("zone back in service: got no slots for e1, want its share")
 	}
 	if n := slotCounts(c, baseOf)["e1"]; n != 0 {
-		t.Errorf("zone added again: got %d bases for e1, whose flows ended when the zone was taken out; want 0", n)
+		t.Errorf("zone back in service: got %d bases for e1, whose flows ended when the zone was taken out; want 0", n)
 	}
 }
 
--- a/core/flow/doc.go
+++ b/core/flow/doc.go
@@ -1,4 +1,4 @@
-// Package flow decides where each packet goes.
+// Package flow decides to which endpoint or instance each packet is sent.
 //
 // A Router applies three rules:
 //   - The first packet of a flow is handled by the keeper of the slot's current
--- a/core/flow/router.go
+++ b/core/flow/router.go
@@ -83,8 +83,8 @@
 	return forward(slot.Base.ID)
 }
 
-// decideFirst decides the first packet of a flow. It drops the packet when in
-// doubt, which is safe because the caller retransmits it.
+// decideFirst decides the first packet of a flow. Dropping the packet is safe
+// because the caller retransmits it.
 func (r *Router) decideFirst(view *board.View, route *board.ServiceRoute, slot board.Slot,
 	f carawaycart.Fingerprint, relayed bool, now time.Time,
 ) carawaycart.Decision {
--- a/core/flow/router_test.go
+++ b/core/flow/router_test.go
@@ -390,8 +390,9 @@
 	f.checkOwners(t, "after an instance failed", owners, now)
 }
 
-// Guards against records that outlive their zone: when a zone is taken out and
-// added again, its earlier flows must not be forwarded there.
+// Guards against records that outlive the time their zone was in service: when a
+// zone is taken out and put back in, packets of its earlier flows must not be
+// forwarded by their old records.
 func TestRecordsOfZoneTakenOutExpire(t *testing.T) {
 	r := flow.NewRecords()
 	r.Put(carawaycart.FlowRecord{Service: "desk", Fingerprint: 1, Endpoint: "e01"}, start)
--- a/core/limit/gate.go
+++ b/core/limit/gate.go
@@ -52,6 +52,7 @@
 	permits          map[carawaycart.PermitID]permit
 }
 
+// permit is the use of one request slot by an instance, until a deadline.
 type permit struct {
 	holder   carawaycart.InstanceID
 	deadline time.Time
@@ -120,6 +121,8 @@
 	}
 }
 
+// cold reports whether the endpoint is cold or in state unknown, which is handled
+// as cold.
 func (g *Gate) cold() bool {
 	return g.state == carawaycart.EndpointCold || g.state == carawaycart.EndpointUnknown
 }
--- a/core/slot/table.go
+++ b/core/slot/table.go
@@ -183,15 +183,15 @@
 
 // reassignment is the working state of Reassign.
 type reassignment struct {
-	table     carawaycart.SlotTable
-	member    []uint16          // member index of each candidate
-	hash      []rendezvous.Name // hash of each candidate
-	remaining []int             // slots still to be assigned to each candidate
-	candidate map[uint16]int    // candidate with each member index
+	table       carawaycart.SlotTable
+	memberIndex []uint16          // member index of each candidate
+	hash        []rendezvous.Name // hash of each candidate
+	remaining   []int             // slots still to be assigned to each candidate
+	candidateOf map[uint16]int    // candidate with each member index
 }
 
 func newReassignment(t carawaycart.SlotTable, candidates []Candidate) *reassignment {
-	r := &reassignment{table: Clone(t), candidate: make(map[uint16]int, len(candidates))}
+	r := &reassignment{table: Clone(t), candidateOf: make(map[uint16]int, len(candidates))}
 	sorted := slices.Clone(candidates)
 	slices.SortFunc(sorted, func(a, b Candidate) int { return cmp.Compare(a.ID, b.ID) })
 	r.remaining = quotas(len(t.Base), sorted)
@@ -205,9 +205,9 @@
 			m = uint16(len(r.table.Members))
 			r.table.Members = append(r.table.Members, c.ID)
 		}
-		r.member = append(r.member, m)
+		r.memberIndex = append(r.memberIndex, m)
 		r.hash = append(r.hash, rendezvous.NewName(string(c.ID)))
-		r.candidate[m] = i
+		r.candidateOf[m] = i
 	}
 	return r
 }
@@ -216,15 +216,15 @@
 // clean slots before dirty ones, then those with the highest rendezvous score. It
 // frees all other slots.
 func (r *reassignment) retainCurrent() {
-	held := make([][]int, len(r.member))
+	held := make([][]int, len(r.memberIndex))
 	for s, m := range r.table.Current {
-		if c, ok := r.candidate[m]; ok {
+		if c, ok := r.candidateOf[m]; ok {
 			held[c] = append(held[c], s)
 		}
 		r.table.Current[s] = carawaycart.NoMember
 	}
 	for c, slots := range held {
-		m := r.member[c]
+		m := r.memberIndex[c]
 		slices.SortFunc(slots, func(a, b int) int {
 			if d := r.dirtyRank(a, m) - r.dirtyRank(b, m); d != 0 {
 				return d
@@ -238,6 +238,8 @@
 	}
 }
 
+// dirtyRank returns 0 if slot s would be clean with member m as its current
+// endpoint, and 1 otherwise.
 func (r *reassignment) dirtyRank(s int, m uint16) int {
 	if r.table.Base[s] == m {
 		return 0
@@ -257,11 +259,11 @@
 		if m != carawaycart.NoMember {
 			continue
 		}
-		c, ok := r.candidate[r.table.Base[s]]
+		c, ok := r.candidateOf[r.table.Base[s]]
 		if !ok || r.remaining[c] <= 0 {
 			c = r.bestCandidate(s)
 		}
-		r.table.Current[s] = r.member[c]
+		r.table.Current[s] = r.memberIndex[c]
 		r.remaining[c]--
 	}
 }
@@ -269,7 +271,7 @@
 func (r *reassignment) bestCandidate(s int) int {
 	best, found := 0, false
 	var bestScore uint64
-	for c := range r.member {
+	for c := range r.memberIndex {
 		if r.remaining[c] <= 0 {
 			continue
 		}
