--- a/core/steer/admission.go
+++ b/core/steer/admission.go
@@ -12,106 +12,121 @@
 )
 
 const (
-	slowPeriod    = 50 * time.Millisecond  // between changes of the level; a queue of a host turns over in about twice as long
-	latePeriod    = 200 * time.Millisecond // between changes of the urgent share; most answers take less
-	patientPeriod = 500 * time.Millisecond // after which a period ends with too few answers to tell anything
-	minSlow       = 5                      // a period needs so many answers to show an overload
-	minLate       = 8                      // the same for urgent requests
+	// slowWindow is the time between changes of the level. The queue of an
+	// endpoint turns over in about twice as long.
+	slowWindow = 50 * time.Millisecond
+	// lateWindow is the time between changes of the urgent level; most answers
+	// take less.
+	lateWindow = 200 * time.Millisecond
+	// maxWindow is the time after which a window ends even with too few answers
+	// for its share to be meaningful.
+	maxWindow      = 500 * time.Millisecond
+	minSlowAnswers = 5 // answers in a window that are needed to detect an overload
+	minLateAnswers = 8 // answers to urgent requests in a window that are needed to detect an overload
 
-	overloadShare = 0.35 // of slow answers, above which the hosts have more than they can do
-	calmShare     = 0.15 // of slow answers, below which they have less
-	slowMemory    = 0.5  // of the share of slow answers, from one period to the next
-	levelUp       = 0.15 // added to the level after a period of overload
-	levelGain     = 1.3  // added besides, times the share beyond overloadShare
-	levelDown     = 0.03 // taken off after a period without overload
-	calmDown      = 0.15 // taken off after a calm one
+	overloadShare     = 0.35 // share of slow answers above which the endpoints are overloaded
+	underloadShare    = 0.15 // share of slow answers below which the endpoints have spare capacity
+	slowSmoothing     = 0.5  // weight of the earlier windows in the smoothed share of slow answers
+	levelIncrease     = 0.15 // added to the level after a window with overload
+	levelGain         = 1.3  // also added, multiplied by the share beyond overloadShare
+	levelDecrease     = 0.03 // subtracted from the level after a window without overload
+	underloadDecrease = 0.15 // subtracted from the level after a window with spare capacity
 
-	lateShare  = 0.4  // of late answers to urgent requests, above which some of those are refused too
-	urgentGain = 0.25 // added to their share, times the share beyond lateShare
-	urgentDown = 0.1  // taken off their share otherwise
+	lateShare      = 0.4  // share of late answers to urgent requests above which some of these are refused too
+	urgentGain     = 0.25 // added to the urgent level, multiplied by the share beyond lateShare
+	urgentDecrease = 0.1  // subtracted from the urgent level otherwise
 
-	slowFactor   = 140                   // percent of the usual time, which is never slow
-	lateFactor   = 200                   // percent of the usual time, which is never late
-	receiptDelay = 50 * time.Millisecond // of an answer: Linux delays acknowledgements by 40 ms, and a round trip
+	// Answers within these percentages of the baseline are not slow or late,
+	// unless they exceed the target by more than acknowledgementDelay.
+	slowPercent = 140
+	latePercent = 200
+	// acknowledgementDelay is the time until an answer is acknowledged: Linux
+	// delays acknowledgements by 40 ms, and a round trip is added.
+	acknowledgementDelay = 50 * time.Millisecond
 
-	maxRefused  = 0.95        // of the most urgent class, so that an end of the overload shows
-	refusalSpan = time.Second // for which a caller is refused or admitted alike
-	minTraffic  = 0.05        // of the new flows, for a class to count as the most urgent
+	maxUrgentRefused = 0.95        // bounds the refused share of the most urgent class, so that the end of an overload is detected
+	refusalPeriod    = time.Second // time during which all flows of a caller are refused or admitted alike
+	minTrafficShare  = 0.05        // share of the new flows above which a class can be the most urgent one
 
-	usualAnswers = 32               // whose mean is the first usual time
-	usualSpan    = 5 * time.Second  // over which the usual time is averaged
-	refusingSpan = 30 * time.Second // the same for longer answers while flows are refused
-	arrivalDecay = 0.95             // of the count of new flows, from one period to the next
-	reportSpan   = time.Second      // between reports of an overload that lasts
+	baselineAnswers        = 32               // number of answers whose mean is the first baseline
+	baselinePeriod         = 5 * time.Second  // time over which the baseline is averaged
+	refusingBaselinePeriod = 30 * time.Second // the same for answers above the baseline while flows are refused
+	arrivalDecay           = 0.95             // factor applied to the counts of new flows after every slow window
+	overloadReportPeriod   = time.Second      // time between reports of a lasting overload
 )
 
-// Admission decides which new flows of a service are refused when its endpoints
-// cannot answer in time; it is safe for concurrent use.
+// Admission decides which new flows of a service are refused while its endpoints
+// cannot answer in time. It is safe for concurrent use; the zero value admits all
+// flows.
 //
-// A request is slow once it has waited for half of the time between the usual
-// answer and its target, answered or not. While many are slow, a growing share of
-// the new flows is refused, the least urgent first, as by F. Zhou et al., "Overload
-// Control for Scaling WeChat Microservices", SoCC 2018. The share rises quickly and
-// falls slowly: a long flow that is let in goes on sending, and cannot be refused
-// later. The most urgent requests are refused only if their own answers are late,
-// and in smaller steps.
+// A request is slow once it has waited beyond the midpoint between the baseline
+// and its target, answered or not. While many requests are slow, a growing share
+// of the new flows is refused, the least urgent first, as in F. Zhou et al.,
+// "Overload Control for Scaling WeChat Microservices", SoCC 2018. The share rises
+// quickly and falls slowly: a long flow that is admitted keeps sending requests,
+// which cannot be refused later. Flows of the most urgent class are refused only if
+// answers to its own requests are late, and in smaller steps.
 type Admission struct {
-	mu       sync.Mutex
-	slow     gauge
-	late     gauge   // of the most urgent requests
-	share    float64 // of slow answers, smoothed
-	level    float64 // share of the less urgent flows that is refused
-	urgent   float64 // share of the most urgent flows that is refused
-	classes  []class // the least urgent first
-	times    patience
-	reported time.Time
-	active   bool // as reported
+	mu          sync.Mutex
+	slow        answerWindow // answers to all requests
+	late        answerWindow // answers to the most urgent requests
+	slowShare   float64      // smoothed share of slow answers
+	level       float64      // share of the less urgent flows that is refused
+	urgentLevel float64      // share of the most urgent flows that is refused
+	classes     []class      // ordered from the least urgent
+	answerTimes timeoutEstimator
+	reportedAt  time.Time // when the state was last reported
+	refusing    bool      // whether flows were refused at reportedAt
 }
 
-// class is what is known of the requests of one priority.
+// class holds the measurements of the requests of one priority.
 type class struct {
-	priority int           // zero is the most urgent
-	usual    time.Duration // of an answer while there is no overload
-	answers  int           // that usual was learnt from, up to usualAnswers
-	learnt   time.Time     // when the last of them came
-	arrivals float64       // new flows lately
-	refused  float64       // share of new flows
+	priority  int           // zero is the most urgent
+	baseline  time.Duration // mean answer time without overload; zero if unknown
+	answers   int           // number of answers that the baseline is based on, up to baselineAnswers
+	updatedAt time.Time     // when the baseline was last updated
+	arrivals  float64       // decayed count of new flows
+	refused   float64       // share of the new flows that is refused
 }
 
-// gauge measures the share of bad answers by periods.
-type gauge struct {
-	began   time.Time
+// answerWindow counts the answers of one measuring window and the bad ones among
+// them, which are slow or late.
+type answerWindow struct {
+	start   time.Time
 	answers int
 	bad     int
 }
 
-func (g *gauge) add(bad bool) {
-	g.answers++
-	g.bad += one(bad)
+func (w *answerWindow) record(bad bool) {
+	w.answers++
+	w.bad += boolToInt(bad)
 }
 
-// end ends the period at now if it has lasted long enough, and returns the share
-// of bad answers in it, zero if there were fewer than enough.
-func (g *gauge) end(now time.Time, period time.Duration, enough int) (share float64, ended bool) {
-	age := now.Sub(g.began)
-	if age < period || age < patientPeriod && g.answers < enough {
+// finish ends the window at now if it is at least period old and has either enough
+// answers or the age maxWindow. It returns the share of bad answers in it, or zero
+// if there were fewer than enough.
+func (w *answerWindow) finish(now time.Time, period time.Duration, enough int) (share float64, ended bool) {
+	age := now.Sub(w.start)
+	if age < period || age < maxWindow && w.answers < enough {
 		return 0, false
 	}
-	if g.answers >= enough {
-		share = float64(g.bad) / float64(g.answers)
+	if w.answers >= enough {
+		share = float64(w.bad) / float64(w.answers)
 	}
-	*g = gauge{began: now}
+	*w = answerWindow{start: now}
 	return share, true
 }
 
-// patience returns how long an answer may usually take.
-func (a *Admission) patience() time.Duration {
+// answerTimeout returns the time after which a request without an answer counts as
+// failed.
+func (a *Admission) answerTimeout() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.times.limit(initialAnswerPatience, minAnswerPatience, maxAnswerPatience)
+	return a.answerTimes.timeout(initialAnswerTimeout, minAnswerTimeout, maxAnswerTimeout)
 }
 
-// class returns the class of priority.
+// class returns the class of priority and adds it if it is new. The pointer is valid
+// until the next class is added.
 func (a *Admission) class(priority int) *class {
 	i, ok := slices.BinarySearchFunc(a.classes, priority, func(c class, p int) int { return cmp.Compare(p, c.priority) })
 	if !ok {
@@ -120,183 +135,186 @@
 	return &a.classes[i]
 }
 
-// allowance returns how long an answer to a request of c with the given target may
-// take before the request is slow.
-func (c *class) allowance(target time.Duration) time.Duration {
-	if c.usual == 0 {
+// slowThreshold returns the answer time above which a request of c with the given
+// target is slow.
+func (c *class) slowThreshold(target time.Duration) time.Duration {
+	if c.baseline == 0 {
 		return target
 	}
-	half := min(c.usual+(target-c.usual)/2, target)
-	return max(half, min(c.usual*slowFactor/100, target+receiptDelay))
+	midpoint := min(c.baseline+(target-c.baseline)/2, target)
+	return max(midpoint, min(c.baseline*slowPercent/100, target+acknowledgementDelay))
 }
 
-// limit returns how long an answer to a request of c with the given target may take
-// before the request is late: the usual time may be longer than the target, since
-// the answer only shows when it is acknowledged.
-func (c *class) limit(target time.Duration) time.Duration {
-	return max(target, min(c.usual*lateFactor/100, target+receiptDelay))
+// lateThreshold returns the answer time above which a request of c with the given
+// target is late. It may exceed the target if the baseline does, since an answer is
+// only observed when it is acknowledged.
+func (c *class) lateThreshold(target time.Duration) time.Duration {
+	return max(target, min(c.baseline*latePercent/100, target+acknowledgementDelay))
 }
 
-// Allowance returns how long an answer to a request may take before the request
-// is slow.
-func (a *Admission) Allowance(priority int, target time.Duration) time.Duration {
+// SlowThreshold returns the answer time above which a request is slow.
+func (a *Admission) SlowThreshold(priority int, target time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.class(priority).allowance(target)
+	return a.class(priority).slowThreshold(target)
 }
 
-// Slow notes that a request has waited for its Allowance at now.
-func (a *Admission) Slow(now time.Time) {
+// RecordSlow records that a request reached its SlowThreshold unanswered at now.
+func (a *Admission) RecordSlow(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.roll(now)
-	a.slow.add(true)
+	a.closeWindows(now)
+	a.slow.record(true)
 }
 
-// Answered notes that an answer took as long as took, of a request that should
-// be answered within target. Slow tells that Slow was called for it before.
-func (a *Admission) Answered(priority int, took, target time.Duration, slow bool, now time.Time) {
+// RecordAnswer records at now that a request with the given target was answered
+// after took. Slow reports whether RecordSlow was called for the request before.
+func (a *Admission) RecordAnswer(priority int, took, target time.Duration, slow bool, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.roll(now)
-	a.times.observe(took)
+	a.closeWindows(now)
+	a.answerTimes.observe(took)
 	c := a.class(priority)
 	if !slow {
-		a.slow.add(took > c.allowance(target))
+		a.slow.record(took > c.slowThreshold(target))
 	}
-	if priority <= a.classes[a.top()].priority {
-		a.late.add(took > c.limit(target))
+	if priority <= a.classes[a.mostUrgent()].priority {
+		a.late.record(took > c.lateThreshold(target))
 	}
-	c.learn(took, a.level > 0, now)
+	c.updateBaseline(took, a.level > 0, now)
 }
 
-// learn takes in at now how long an answer took: the first ones by their mean, later
-// ones by an exponential average over usualSpan. Longer ones than usual count little
-// while flows are refused, since they are not usual.
-func (c *class) learn(took time.Duration, refusing bool, now time.Time) {
-	span := usualSpan
-	if refusing && took > c.usual {
-		span = refusingSpan
+// updateBaseline adds an answer time to the baseline at now. The first
+// baselineAnswers times are averaged with equal weight, later ones exponentially
+// over baselinePeriod. While flows are refused, times above the baseline get little
+// weight, since they reflect the overload.
+func (c *class) updateBaseline(took time.Duration, refusing bool, now time.Time) {
+	period := baselinePeriod
+	if refusing && took > c.baseline {
+		period = refusingBaselinePeriod
 	}
-	weight := min(max(float64(now.Sub(c.learnt))/float64(span), 0), 1)
-	if c.answers < usualAnswers {
+	weight := min(max(float64(now.Sub(c.updatedAt))/float64(period), 0), 1)
+	if c.answers < baselineAnswers {
 		c.answers++
 		weight = 1 / float64(c.answers)
 	}
-	c.usual += time.Duration(weight * float64(took-c.usual))
-	if now.After(c.learnt) {
-		c.learnt = now
+	c.baseline += time.Duration(weight * float64(took-c.baseline))
+	if now.After(c.updatedAt) {
+		c.updatedAt = now
 	}
 }
 
-// roll ends the periods that are over at now.
-func (a *Admission) roll(now time.Time) {
-	if late, ended := a.late.end(now, latePeriod, minLate); ended {
+// closeWindows evaluates the windows that have ended at now and adjusts the shares
+// of refused flows.
+func (a *Admission) closeWindows(now time.Time) {
+	if late, ended := a.late.finish(now, lateWindow, minLateAnswers); ended {
 		if late > lateShare {
-			a.urgent = min(a.urgent+urgentGain*(late-lateShare), maxRefused)
+			a.urgentLevel = min(a.urgentLevel+urgentGain*(late-lateShare), maxUrgentRefused)
 		} else {
-			a.urgent = max(a.urgent-urgentDown, 0)
+			a.urgentLevel = max(a.urgentLevel-urgentDecrease, 0)
 		}
 	}
-	share, ended := a.slow.end(now, slowPeriod, minSlow)
+	slowShare, ended := a.slow.finish(now, slowWindow, minSlowAnswers)
 	if !ended {
 		return
 	}
-	a.share = slowMemory*a.share + (1-slowMemory)*share
+	a.slowShare = slowSmoothing*a.slowShare + (1-slowSmoothing)*slowShare
 	switch {
-	case a.share > overloadShare:
-		a.level = min(a.level+levelUp+levelGain*(a.share-overloadShare), 1)
-	case a.share < calmShare:
-		a.level = max(a.level-calmDown, 0)
+	case a.slowShare > overloadShare:
+		a.level = min(a.level+levelIncrease+levelGain*(a.slowShare-overloadShare), 1)
+	case a.slowShare < underloadShare:
+		a.level = max(a.level-underloadDecrease, 0)
 	default:
-		a.level = max(a.level-levelDown, 0)
+		a.level = max(a.level-levelDecrease, 0)
 	}
-	a.deal()
+	a.allocateRefusals()
 	for i := range a.classes {
 		a.classes[i].arrivals *= arrivalDecay
 	}
 }
 
-// top returns the index of the most urgent class with traffic to speak of.
-func (a *Admission) top() int {
+// mostUrgent returns the index of the most urgent class that has more than
+// minTrafficShare of the new flows, or zero if there is none.
+func (a *Admission) mostUrgent() int {
 	total := 0.0
 	for i := range a.classes {
 		total += a.classes[i].arrivals
 	}
 	for i := len(a.classes) - 1; i > 0; i-- {
-		if a.classes[i].arrivals > minTraffic*total {
+		if a.classes[i].arrivals > minTrafficShare*total {
 			return i
 		}
 	}
 	return 0
 }
 
-// deal sets the share of each class that is refused.
-func (a *Admission) deal() {
+// allocateRefusals sets the share of new flows that each class refuses.
+func (a *Admission) allocateRefusals() {
 	if len(a.classes) == 0 {
 		return
 	}
-	top := a.top()
+	mostUrgent := a.mostUrgent()
 	below := 0.0
-	for i := range top {
+	for i := range mostUrgent {
 		below += a.classes[i].arrivals
 	}
 	rest := a.level * below
 	for i := range a.classes {
 		c := &a.classes[i]
 		switch {
-		case i < top && c.arrivals > 0:
+		case i < mostUrgent && c.arrivals > 0:
 			c.refused = min(rest/c.arrivals, 1)
 			rest = max(rest-c.arrivals, 0)
-		case i < top:
+		case i < mostUrgent:
 			c.refused = 0
 		case below == 0:
-			c.refused = min(a.level, maxRefused)
+			c.refused = min(a.level, maxUrgentRefused)
 		default:
-			c.refused = a.urgent
+			c.refused = a.urgentLevel
 		}
 	}
 }
 
-// Refuses reports whether a new flow of caller, for requests of the given
-// priority, is refused at now.
+// Refuses reports whether a new flow of caller with requests of the given priority
+// is refused at now, and counts the flow.
 func (a *Admission) Refuses(caller carawaycart.FlowKey, priority int, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.roll(now)
+	a.closeWindows(now)
 	c := a.class(priority)
 	c.arrivals++
-	return c.refused > 0 && lot(caller, now) < c.refused
+	return c.refused > 0 && hashFraction(caller, now) < c.refused
 }
 
-// lot returns a number from 0 to 1 that is the same for all flows of a caller
-// within refusalSpan, so that its retries do not push others aside.
-func lot(k carawaycart.FlowKey, now time.Time) float64 {
+// hashFraction returns a number in [0, 1) that is the same for all flows of a caller
+// within refusalPeriod, so that its retries do not displace the flows of others.
+func hashFraction(k carawaycart.FlowKey, now time.Time) float64 {
 	address := k.Caller.Addr().As4()
-	span := uint64(now.UnixNano()) / uint64(refusalSpan)
-	h := xxhash.Sum64(address[:]) ^ span*0x9e3779b97f4a7c15
+	period := uint64(now.UnixNano()) / uint64(refusalPeriod)
+	h := xxhash.Sum64(address[:]) ^ period*0x9e3779b97f4a7c15
 	h *= 0xff51afd7ed558ccd // the finalizer of MurmurHash3
 	h ^= h >> 33
 	return float64(h>>11) / (1 << 53)
 }
 
-// Overload is how far new flows of a service are refused.
+// Overload describes how many new flows of a service are refused.
 type Overload struct {
 	Service carawaycart.ServiceID
-	Slow    float64 // share of the requests
+	Slow    float64 // share of the requests that are slow
 	Level   float64 // share of the less urgent flows that is refused
 	Urgent  float64 // share of the most urgent flows that is refused
 }
 
-// report returns the state at now, and whether observers should be told: when
-// refusals begin or end, and once in reportSpan between.
+// report returns the state at now and whether it is to be reported to the observer,
+// which is the case when refusals begin or end and every overloadReportPeriod in
+// between.
 func (a *Admission) report(now time.Time) (Overload, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	active := a.level > 0 || a.urgent > 0
-	if active == a.active && (!active || now.Sub(a.reported) < reportSpan) {
+	refusing := a.level > 0 || a.urgentLevel > 0
+	if refusing == a.refusing && (!refusing || now.Sub(a.reportedAt) < overloadReportPeriod) {
 		return Overload{}, false
 	}
-	a.active, a.reported = active, now
-	return Overload{Slow: a.share, Level: a.level, Urgent: a.urgent}, true
+	a.refusing, a.reportedAt = refusing, now
+	return Overload{Slow: a.slowShare, Level: a.level, Urgent: a.urgentLevel}, true
 }
--- a/core/steer/admission_test.go
+++ b/core/steer/admission_test.go
@@ -21,23 +21,23 @@
 	return carawaycart.FlowKey{Caller: netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(n >> 8), byte(n)}), 1000)}
 }
 
-func TestAdmissionRefusesNobodyWhileAnswersAreInTime(t *testing.T) {
+func TestAdmissionAdmitsAllWhileAnswersAreTimely(t *testing.T) {
 	a := &Admission{}
 	for n := range 1000 {
 		now := epoch.Add(time.Duration(n) * 5 * time.Millisecond)
-		a.Answered(feedPriority, 50*time.Millisecond, 100*time.Millisecond, false, now)
+		a.RecordAnswer(feedPriority, 50*time.Millisecond, 100*time.Millisecond, false, now)
 		if a.Refuses(caller(n), feedPriority, now) {
 			t.Fatalf("got caller %d refused", n)
 		}
 	}
 }
 
-func TestAdmissionRefusesTheLeastUrgentFirst(t *testing.T) {
+func TestAdmissionRefusesLeastUrgentFirst(t *testing.T) {
 	a := &Admission{}
 	refused := make(map[int]int)
 	for n := range 60 { // 0.6 s of late answers to feeds
 		now := epoch.Add(time.Duration(n) * 10 * time.Millisecond)
-		a.Answered(feedPriority, 300*time.Millisecond, 100*time.Millisecond, false, now)
+		a.RecordAnswer(feedPriority, 300*time.Millisecond, 100*time.Millisecond, false, now)
 		for _, priority := range []int{feedPriority, orderPriority} {
 			if a.Refuses(caller(n), priority, now) {
 				refused[priority]++
@@ -45,21 +45,21 @@
 		}
 	}
 	if refused[feedPriority] == 0 || refused[orderPriority] != 0 {
-		t.Errorf("got %d feeds and %d orders refused, want some and none", refused[feedPriority], refused[orderPriority])
+		t.Errorf("got %d feeds and %d orders refused, want some feeds and no orders", refused[feedPriority], refused[orderPriority])
 	}
 }
 
-func TestAdmissionEndsWithTheOverload(t *testing.T) {
+func TestAdmissionRecoversAfterOverload(t *testing.T) {
 	a := &Admission{}
 	now := epoch
 	for range 400 {
 		now = now.Add(10 * time.Millisecond)
-		a.Answered(feedPriority, 300*time.Millisecond, 100*time.Millisecond, false, now)
+		a.RecordAnswer(feedPriority, 300*time.Millisecond, 100*time.Millisecond, false, now)
 		a.Refuses(caller(1), feedPriority, now)
 	}
 	for range 300 {
 		now = now.Add(10 * time.Millisecond)
-		a.Answered(feedPriority, 50*time.Millisecond, 100*time.Millisecond, false, now)
+		a.RecordAnswer(feedPriority, 50*time.Millisecond, 100*time.Millisecond, false, now)
 	}
 	for n := range 100 {
 		if a.Refuses(caller(n), feedPriority, now) {
@@ -68,14 +68,14 @@
 	}
 }
 
-// The load pattern: an instance starts while hosts still reject what a loss of all
-// instances left behind. What it takes for usual then must not make it refuse for
-// long after.
-func TestAdmissionLearnsWhatIsUsual(t *testing.T) {
+// Guards against lasting refusals after an instance starts while endpoints still
+// reject the load left behind by a loss of all instances. The quick rejections are
+// then the first answers to enter the baseline.
+func TestAdmissionBaselineRecoversFromRejections(t *testing.T) {
 	const (
-		period     = 40 * time.Millisecond // between answers
-		rejections = 4                     // answers
-		settled    = 125                   // answers, in 5 s
+		period     = 40 * time.Millisecond // time between answers
+		rejections = 4                     // number of the first answers that are rejections
+		warmup     = 125                   // answers before refusals count; they take 5 s
 		answers    = 600
 	)
 	for _, rejected := range []time.Duration{3 * time.Millisecond, 8 * time.Millisecond, 48 * time.Millisecond} {
@@ -89,18 +89,18 @@
 			if n < rejections {
 				took = rejected
 			}
-			a.Answered(feedPriority, took, 100*time.Millisecond, false, now)
-			refused += one(a.Refuses(caller(n), feedPriority, now) && n > settled)
+			a.RecordAnswer(feedPriority, took, 100*time.Millisecond, false, now)
+			refused += boolToInt(a.Refuses(caller(n), feedPriority, now) && n > warmup)
 		}
-		if refused > (answers-settled)/100 {
-			t.Errorf("rejections after %v: got %d of %d refused, want hardly any", rejected, refused, answers-settled)
+		if refused > (answers-warmup)/100 {
+			t.Errorf("rejections after %v: got %d of %d refused, want about 1%% at most", rejected, refused, answers-warmup)
 		}
 	}
 }
 
-// The load pattern: a route's target is shorter than what is usual, since callers
-// acknowledge late. That is no overload.
-func TestAdmissionWithTargetsBelowTheUsual(t *testing.T) {
+// Guards against refusals without overload, if the target of a route is shorter than
+// the baseline because callers acknowledge late.
+func TestAdmissionWithTargetsBelowBaseline(t *testing.T) {
 	for _, target := range []time.Duration{30 * time.Millisecond, 50 * time.Millisecond, 60 * time.Millisecond, 70 * time.Millisecond} {
 		random := rand.New(rand.NewPCG(4, 4))
 		a := &Admission{}
@@ -112,25 +112,25 @@
 				priority = orderPriority
 			}
 			took := 52*time.Millisecond + time.Duration(random.ExpFloat64()*float64(12*time.Millisecond))
-			a.Answered(priority, took, target, false, now)
-			refused += one(a.Refuses(caller(n), priority, now) && n > 100)
+			a.RecordAnswer(priority, took, target, false, now)
+			refused += boolToInt(a.Refuses(caller(n), priority, now) && n > 100)
 		}
 		if refused > 20 { // 1%
-			t.Errorf("target of %v: got %d of 1900 refused, want hardly any", target, refused)
+			t.Errorf("target of %v: got %d of 1900 refused, want about 1%% at most", target, refused)
 		}
 	}
 }
 
-// Silence must not keep the level up: without answers nothing is known.
-func TestAdmissionForgetsWithoutAnswers(t *testing.T) {
+// Guards against refusals that go on without any answers: the load is unknown then.
+func TestAdmissionDecaysWithoutAnswers(t *testing.T) {
 	a := &Admission{}
 	now := epoch
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		a.Answered(feedPriority, 300*time.Millisecond, 100*time.Millisecond, false, now)
+		a.RecordAnswer(feedPriority, 300*time.Millisecond, 100*time.Millisecond, false, now)
 	}
 	for range 20 {
-		now = now.Add(patientPeriod)
+		now = now.Add(maxWindow)
 		a.Refuses(caller(1), feedPriority, now)
 	}
 	if a.Refuses(caller(2), feedPriority, now) {
@@ -138,16 +138,16 @@
 	}
 }
 
-func TestRetriesOfACallerAreDecidedAlike(t *testing.T) {
+func TestAdmissionDecidesRetriesConsistently(t *testing.T) {
 	a := &Admission{
 		classes: []class{{priority: feedPriority, refused: 0.5}},
-		slow:    gauge{began: epoch}, late: gauge{began: epoch},
+		slow:    answerWindow{start: epoch}, late: answerWindow{start: epoch},
 	}
 	refused := 0
 	for n := range 200 {
 		k := caller(n)
 		want := a.Refuses(k, feedPriority, epoch)
-		refused += one(want)
+		refused += boolToInt(want)
 		k.Caller = netip.AddrPortFrom(k.Caller.Addr(), 2000)
 		if got := a.Refuses(k, feedPriority, epoch.Add(40*time.Millisecond)); got != want {
 			t.Errorf("caller %d: got refused %t for its retry, want %t", n, got, want)
@@ -158,11 +158,11 @@
 	}
 }
 
-// queue is a model of the hosts of a service: slots that serve in order of
+// queue models the endpoints of a service: slots that process requests in order of
 // arrival, with a bounded queue.
 type queue struct {
-	free  finishTimes // when each slot is free
-	limit time.Duration
+	freeAt finishTimes // when each slot becomes free
+	limit  time.Duration
 }
 
 type finishTimes []time.Duration
@@ -173,54 +173,54 @@
 func (f *finishTimes) Push(x any)        { *f = append(*f, x.(time.Duration)) }
 func (f *finishTimes) Pop() any          { old := *f; x := old[len(old)-1]; *f = old[:len(old)-1]; return x }
 
-// serve returns when a request that comes at at is answered, or false if the
-// queue is full.
+// serve returns when a request that arrives at at is answered, or false if the queue
+// is full.
 func (q *queue) serve(at, work time.Duration) (time.Duration, bool) {
-	begin := max(q.free[0], at)
+	begin := max(q.freeAt[0], at)
 	if begin-at > q.limit {
 		return 0, false
 	}
-	heap.Pop(&q.free)
-	heap.Push(&q.free, begin+work)
+	heap.Pop(&q.freeAt)
+	heap.Push(&q.freeAt, begin+work)
 	return begin + work, true
 }
 
-// answer is one that is on its way back.
+// answer is an answer that has not reached the instance yet.
 type answer struct {
-	asked, done, target time.Duration
-	priority            int
+	sentAt, done, target time.Duration
+	priority             int
 }
 
-// replay offers load to 28 slots for 6 s: orders worth 2 and feeds worth 1, each
-// on a new flow, and returns the share of the worth that is earned in time.
+// replay offers load to 28 slots for 6 s: orders of value 2 and feeds of value 1, each
+// on a new flow. It returns the share of the value that is answered in time.
 func replay(load float64, control bool) float64 {
 	const (
-		slots      = 28
-		feedWork   = 30 * time.Millisecond
-		orderWork  = 39 * time.Millisecond
-		feedTarget = 150 * time.Millisecond
-		orderAim   = 200 * time.Millisecond
-		orderShare = 0.22
-		span       = 6 * time.Second
-		queueLimit = 170 * time.Millisecond // 8 requests before 2 slots, with some spread
+		slots       = 28
+		feedWork    = 30 * time.Millisecond
+		orderWork   = 39 * time.Millisecond
+		feedTarget  = 150 * time.Millisecond
+		orderTarget = 200 * time.Millisecond
+		orderShare  = 0.22
+		span        = 6 * time.Second
+		queueLimit  = 170 * time.Millisecond // 8 requests in the queue of 2 slots, with some spread
 	)
 	perSecond := load * slots / ((1-orderShare)*feedWork.Seconds() + orderShare*orderWork.Seconds())
 	random := rand.New(rand.NewPCG(7, 7))
-	q := &queue{free: make(finishTimes, slots), limit: queueLimit}
+	q := &queue{freeAt: make(finishTimes, slots), limit: queueLimit}
 	a := &Admission{}
 	var underway []answer
-	owed, earned := 0.0, 0.0
+	offered, inTime := 0.0, 0.0
 	for at := time.Duration(0); at < span; at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)) {
 		for len(underway) > 0 && underway[0].done <= at {
 			u := underway[0]
-			a.Answered(u.priority, u.done-u.asked, u.target, false, epoch.Add(u.done))
+			a.RecordAnswer(u.priority, u.done-u.sentAt, u.target, false, epoch.Add(u.done))
 			underway = underway[1:]
 		}
-		worth, work, target, priority := 1.0, feedWork, feedTarget, feedPriority
+		value, work, target, priority := 1.0, feedWork, feedTarget, feedPriority
 		if random.Float64() < orderShare {
-			worth, work, target, priority = 2, orderWork, orderAim, orderPriority
+			value, work, target, priority = 2, orderWork, orderTarget, orderPriority
 		}
-		owed += worth
+		offered += value
 		if control && a.Refuses(caller(random.IntN(1<<16)), priority, epoch.Add(at)) {
 			continue
 		}
@@ -229,24 +229,24 @@
 			continue
 		}
 		if done-at <= target {
-			earned += worth
+			inTime += value
 		}
 		underway = append(underway, answer{at, done, target, priority})
 	}
-	return earned / owed
+	return inTime / offered
 }
 
-// The load pattern: bursts beyond what the hosts can do, on new flows. Without
-// refusals nearly every answer waits behind a full queue and comes late.
+// Guards against a collapse under bursts beyond the capacity of the endpoints, on new
+// flows. Without refusals nearly every answer waits in a full queue and is late.
 func TestAdmissionUnderBursts(t *testing.T) {
 	for _, load := range []float64{0.6, 0.9, 1.2, 1.5, 2.5} {
 		got, without := replay(load, true), replay(load, false)
 		want := 0.95
 		if load > 1 {
-			want = 2.0 / 3 / load // two thirds of what the slots can do
+			want = 2.0 / 3 / load // two thirds of the capacity of the slots
 		}
 		if got < want {
-			t.Errorf("load %v: got %.2f of the worth in time, want at least %.2f (%.2f without refusals)", load, got, want, without)
+			t.Errorf("load %v: got %.2f of the value in time, want at least %.2f (%.2f without refusals)", load, got, want, without)
 		}
 		if load > 1 && got <= without {
 			t.Errorf("load %v: got %.2f with refusals and %.2f without", load, got, without)
@@ -254,68 +254,69 @@
 	}
 }
 
-// longFlows is a replay of a burst on flows that stay open: each feed opens a flow
-// with its first request and then sends one a second, whatever the load; orders
-// come on new flows. Several instances see a part of the callers each.
+// longFlows replays a burst on flows that stay open: each feed opens a flow with its
+// first request and then sends one request per second, whatever the load. Orders
+// arrive on new flows. Each of several instances sees a part of the callers.
 type longFlows struct {
-	random *rand.Rand
-	queue  *queue
-	fleet  []*Admission
-	due    map[int][]func(now time.Time) // by millisecond
-	owed   float64
-	earned float64
+	random  *rand.Rand
+	queue   *queue
+	fleet   []*Admission
+	due     map[int][]func(now time.Time) // callbacks by millisecond
+	offered float64
+	inTime  float64
 }
 
-// ask sends a request at the given millisecond past a, and lets a know of the
-// answer, whose receipt shows later by acknowledged.
-func (l *longFlows) ask(a *Admission, ms, priority int, worth float64, work, target, acknowledged time.Duration) {
+// send sends a request through a at the given millisecond and schedules the reports
+// of its answer to a. The instance observes the answer after the additional delay
+// acknowledged.
+func (l *longFlows) send(a *Admission, ms, priority int, value float64, work, target, acknowledged time.Duration) {
 	at := time.Duration(ms) * time.Millisecond
 	done, ok := l.queue.serve(at, time.Duration(l.random.ExpFloat64()*float64(work)))
 	if !ok {
-		done = at // rejected at once
+		done = at // rejected immediately
 	} else if done-at <= target {
-		l.earned += worth
+		l.inTime += value
 	}
 	took := done - at + acknowledged
-	limit := a.Allowance(priority, target)
+	limit := a.SlowThreshold(priority, target)
 	slow := took > limit
 	if slow {
-		l.at(at+limit, a.Slow)
+		l.schedule(at+limit, a.RecordSlow)
 	}
-	l.at(at+took, func(now time.Time) { a.Answered(priority, took, target, slow, now) })
+	l.schedule(at+took, func(now time.Time) { a.RecordAnswer(priority, took, target, slow, now) })
 }
 
-func (l *longFlows) at(when time.Duration, do func(time.Time)) {
+func (l *longFlows) schedule(when time.Duration, do func(time.Time)) {
 	ms := int(when / time.Millisecond)
 	l.due[ms] = append(l.due[ms], do)
 }
 
-// replayLongFlows returns the share of the worth that is earned in time during 6 s
-// of burst times the usual load, which takes 47% of the slots.
+// replayLongFlows returns the share of the value that is answered in time during 6 s
+// of burst times the normal load, which takes 47% of the slots.
 func replayLongFlows(burst float64, control bool) float64 {
 	const (
 		instances, slots        = 14, 28
-		feeds, orders           = 320, 91 // a second
+		feeds, orders           = 320, 91 // per second
 		feedWork, orderWork     = 30 * time.Millisecond, 39 * time.Millisecond
 		feedTarget, orderTarget = 150 * time.Millisecond, 200 * time.Millisecond
 		feedReceipt, roundTrip  = 46 * time.Millisecond, 6 * time.Millisecond
 		queueLimit              = 130 * time.Millisecond
-		begin, end, sendPeriod  = 4000, 10000, 1000 // of the burst, and of a feed's requests, in milliseconds
+		begin, end, sendPeriod  = 4000, 10000, 1000 // start and end of the burst and period of a feed's requests, in milliseconds
 	)
 	l := &longFlows{
-		random: rand.New(rand.NewPCG(5, 5)), queue: &queue{free: make(finishTimes, slots), limit: queueLimit}, due: make(map[int][]func(time.Time)),
+		random: rand.New(rand.NewPCG(5, 5)), queue: &queue{freeAt: make(finishTimes, slots), limit: queueLimit}, due: make(map[int][]func(time.Time)),
 	}
 	for range instances {
 		l.fleet = append(l.fleet, &Admission{})
 	}
 	type feed struct {
-		phase int // of the requests, in milliseconds
-		home  *Admission
-		open  bool
+		phase     int // offset of its requests in milliseconds
+		admission *Admission
+		open      bool
 	}
 	all := make([]feed, int(burst*feeds))
 	for i := range all {
-		all[i] = feed{phase: l.random.IntN(sendPeriod), home: l.fleet[l.random.IntN(instances)]}
+		all[i] = feed{phase: l.random.IntN(sendPeriod), admission: l.fleet[l.random.IntN(instances)]}
 	}
 	for ms := range end {
 		now := epoch.Add(time.Duration(ms) * time.Millisecond)
@@ -323,7 +324,7 @@
 			do(now)
 		}
 		if ms == begin {
-			l.owed, l.earned = 0, 0
+			l.offered, l.inTime = 0, 0
 		}
 		n, perSecond := feeds, float64(orders)
 		if ms >= begin {
@@ -334,26 +335,27 @@
 			if ms%sendPeriod != f.phase {
 				continue
 			}
-			l.owed++
-			if !f.open && control && f.home.Refuses(caller(i), feedPriority, now) {
+			l.offered++
+			if !f.open && control && f.admission.Refuses(caller(i), feedPriority, now) {
 				continue
 			}
 			f.open = true
-			l.ask(f.home, ms, feedPriority, 1, feedWork, feedTarget, feedReceipt)
+			l.send(f.admission, ms, feedPriority, 1, feedWork, feedTarget, feedReceipt)
 		}
 		for range poisson(l.random, perSecond/1000) {
-			l.owed += 2
+			l.offered += 2
 			a := l.fleet[l.random.IntN(instances)]
 			if control && a.Refuses(caller(l.random.IntN(1<<16)), orderPriority, now) {
 				continue
 			}
-			l.ask(a, ms, orderPriority, 2, orderWork, orderTarget, roundTrip)
+			l.send(a, ms, orderPriority, 2, orderWork, orderTarget, roundTrip)
 		}
 	}
-	return l.earned / l.owed
+	return l.inTime / l.offered
 }
 
-// poisson returns how many events happen where mean are expected.
+// poisson returns a random number of events from the Poisson distribution with the
+// given mean.
 func poisson(r *rand.Rand, mean float64) int {
 	n := 0
 	for sum := r.ExpFloat64(); sum < mean; sum += r.ExpFloat64() {
@@ -362,33 +364,33 @@
 	return n
 }
 
-// The load pattern: a burst on flows that stay open. What is let in before the
-// overload shows cannot be refused later, so the level has to rise quickly.
-func TestAdmissionBeforeLongFlows(t *testing.T) {
+// Guards against a level that rises too slowly under a burst on flows that stay open:
+// flows admitted before the overload is detected cannot be refused later.
+func TestAdmissionUnderBurstsOnLongFlows(t *testing.T) {
 	for _, test := range []struct{ burst, want float64 }{{1.7, 0.97}, {2.6, 0.75}, {4, 0.45}} {
 		got, without := replayLongFlows(test.burst, true), replayLongFlows(test.burst, false)
 		if got < test.want {
-			t.Errorf("burst of %v: got %.3f of the worth in time, want at least %.2f (%.3f without refusals)", test.burst, got, test.want, without)
+			t.Errorf("burst of %v: got %.3f of the value in time, want at least %.2f (%.3f without refusals)", test.burst, got, test.want, without)
 		}
-		t.Logf("burst of %v: got %.3f of the worth in time (%.3f without refusals)", test.burst, got, without)
+		t.Logf("burst of %v: got %.3f of the value in time (%.3f without refusals)", test.burst, got, without)
 	}
 }
 
-func TestPatience(t *testing.T) {
+func TestTimeoutEstimator(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		took []time.Duration
 		want time.Duration
 	}{
-		{"nothing known", nil, initialPatience},
-		{"quick answers", []time.Duration{8e6, 8e6, 8e6, 8e6, 8e6, 8e6, 8e6, 8e6, 8e6, 8e6, 8e6, 8e6}, minPatience},
-		{"slow answers", []time.Duration{400e6, 400e6}, maxPatience},
+		{"no answers", nil, initialFirstPacketTimeout},
+		{"quick answers", []time.Duration{8e6, 8e6, 8e6, 8e6, 8e6, 8e6, 8e6, 8e6, 8e6, 8e6, 8e6, 8e6}, minFirstPacketTimeout},
+		{"slow answers", []time.Duration{400e6, 400e6}, maxFirstPacketTimeout},
 	} {
-		var p patience
+		var p timeoutEstimator
 		for _, d := range test.took {
 			p.observe(d)
 		}
-		if got := p.limit(initialPatience, minPatience, maxPatience); got != test.want {
+		if got := p.timeout(initialFirstPacketTimeout, minFirstPacketTimeout, maxFirstPacketTimeout); got != test.want {
 			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
 		}
 	}
--- a/core/steer/place_test.go
+++ b/core/steer/candidate_test.go
@@ -21,7 +21,7 @@
 	avoided := with(func(c *steer.Candidate) { c.Avoided = true })
 	silent := with(func(c *steer.Candidate) { c.Silent, c.Avoided = true, true })
 	lapsed := with(func(c *steer.Candidate) { c.Lapsed = true })
-	spent := with(func(c *steer.Candidate) { c.Cold, c.Full = true, true })
+	atLimit := with(func(c *steer.Candidate) { c.Cold, c.Full = true, true })
 	cold := with(func(c *steer.Candidate) { c.Cold = true })
 	failing := with(func(c *steer.Candidate) { c.Failing = true })
 	tried := with(func(c *steer.Candidate) { c.Tried = true })
@@ -30,21 +30,21 @@
 		candidates []steer.Candidate
 		want       int
 	}{
-		{"nobody", nil, -1},
+		{"no candidates", nil, -1},
 		{"fewest outstanding", []steer.Candidate{full, busy, good}, 2},
-		{"own zone before another", []steer.Candidate{remote, busy}, 1},
-		{"another zone before a queue", []steer.Candidate{full, remote}, 1},
-		{"a queue before an avoided one", []steer.Candidate{avoided, full}, 1},
-		{"a silent one never", []steer.Candidate{silent}, -1},
-		{"a lapsed one before an avoided one", []steer.Candidate{avoided, lapsed}, 1},
-		{"an avoided one before one that was tried", []steer.Candidate{tried, avoided}, 1},
-		{"one that was tried before a silent one", []steer.Candidate{silent, tried}, 1},
-		{"a warm one before a cold one", []steer.Candidate{cold, good}, 1},
-		{"a cold one before an avoided one", []steer.Candidate{avoided, cold}, 1},
-		{"another zone before one that fails", []steer.Candidate{failing, remote}, 1},
-		{"one that fails before an avoided one", []steer.Candidate{avoided, failing}, 1},
-		{"a cold one at its limit never", []steer.Candidate{spent}, -1},
-		{"neither a silent one nor one at its limit", []steer.Candidate{silent, spent}, -1},
+		{"same zone before another zone", []steer.Candidate{remote, busy}, 1},
+		{"another zone before a long queue", []steer.Candidate{full, remote}, 1},
+		{"long queue before avoided", []steer.Candidate{avoided, full}, 1},
+		{"silent is excluded", []steer.Candidate{silent}, -1},
+		{"lapsed before avoided", []steer.Candidate{avoided, lapsed}, 1},
+		{"avoided before tried", []steer.Candidate{tried, avoided}, 1},
+		{"tried before silent", []steer.Candidate{silent, tried}, 1},
+		{"warm before cold", []steer.Candidate{cold, good}, 1},
+		{"cold before avoided", []steer.Candidate{avoided, cold}, 1},
+		{"another zone before failing", []steer.Candidate{failing, remote}, 1},
+		{"failing before avoided", []steer.Candidate{avoided, failing}, 1},
+		{"cold at its limit is excluded", []steer.Candidate{atLimit}, -1},
+		{"silent and cold at its limit are excluded", []steer.Candidate{silent, atLimit}, -1},
 	} {
 		if got := steer.Choose(test.candidates, func(int) int { return 1 }); got != test.want {
 			t.Errorf("%s: got %d, want %d", test.name, got, test.want)
@@ -52,7 +52,7 @@
 	}
 }
 
-// The load pattern of a steady day: flows that stay open, over equal endpoints.
+// Checks that long-lived flows of a steady load are balanced over equal endpoints.
 func TestOpenFlowsSpreadEvenly(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	candidates := make([]steer.Candidate, 14)
@@ -64,7 +64,7 @@
 	}
 	most := slices.MaxFunc(candidates, func(a, b steer.Candidate) int { return a.Open - b.Open }).Open
 	if bound := 110; most > bound {
-		t.Errorf("got %d flows at the fullest of 14 endpoints, want at most %d of a mean of 100", most, bound)
+		t.Errorf("got %d flows at the busiest of 14 endpoints, want at most %d with a mean of 100", most, bound)
 	}
 }
 
--- a/core/steer/cold_test.go
+++ b/core/steer/cold_test.go
@@ -17,65 +17,65 @@
 	for _, test := range []struct {
 		bound   float64
 		members int
-		want    int // in sum
+		want    int // total over all members
 	}{
 		{11, 1, 5}, {11, 3, 5}, {11, 19, 5}, {5, 140, 2}, {1, 4, 0}, {0, 4, 0}, {200, 14, 100},
 	} {
 		sum := 0
 		for rank := range test.members {
-			sum += steer.NewColdShare(test.bound, test.members, rank).Flows
+			sum += steer.NewColdShare(test.bound, test.members, rank).FlowsPerSecond
 		}
 		if sum != test.want {
-			t.Errorf("bound %v over %d members: got %d flows in sum, want %d", test.bound, test.members, sum, test.want)
+			t.Errorf("bound %v over %d members: got %d flows in total, want %d", test.bound, test.members, sum, test.want)
 		}
 	}
 }
 
-// Whatever the load, and while half of the instances do not know each other, a
-// cold endpoint gets no more than its bound in any second from all together.
-func TestColdEndpointStaysWithinItsBound(t *testing.T) {
+// Checks at any load, also while half of the instances do not know the others, that a
+// cold endpoint gets no more flows from all of them in any second than its bound.
+func TestColdEndpointStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(1, 24).Draw(t, "instances")
 		f := newFleet(instances, 3)
 		cold := f.contents.Lifetimes[0]
 		cold.ColdLeft = 10 * time.Second
 		f.contents.Revisions = map[carawaycart.LifetimeKey]carawaycart.StoreRevision{cold.Key(): 9}
-		f.learn(start)
+		f.update(start)
 		if rapid.Bool().Draw(t, "views differ") {
 			for i := range f.routers {
-				f.table(i, f.contents.Instances[i%2*instances/2:], start)
+				f.setTable(i, f.contents.Instances[i%2*instances/2:], start)
 			}
 		}
 		perSecond := rapid.IntRange(1, 400).Draw(t, "flows a second")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		var given []time.Duration
+		var forwarded []time.Duration
 		for n := range 4 * perSecond {
 			at := time.Duration(n) * time.Second / time.Duration(perSecond)
 			d := f.routers[random.IntN(instances)].Decide(first(n, feed), start.Add(at))
 			if d.Endpoint == cold.ID {
-				given = append(given, at)
+				forwarded = append(forwarded, at)
 			}
 		}
 		const bound = 4*1.5 + 5 // cold_per_s, cold_overrun and cold_slack of the fixture
-		for i := range given {
-			end, _ := slices.BinarySearch(given, given[i]+time.Second)
+		for i := range forwarded {
+			end, _ := slices.BinarySearch(forwarded, forwarded[i]+time.Second)
 			if n := end - i; n > bound {
-				t.Fatalf("got %d flows in the second from %v, want at most %v", n, given[i], float64(bound))
+				t.Fatalf("got %d flows in the second from %v, want at most %v", n, forwarded[i], float64(bound))
 			}
 		}
 	})
 }
 
-// If every endpoint is cold, each still gets its share, and the rest is refused
-// with the cause.
-func TestAllColdStillServe(t *testing.T) {
+// Guards against refusing all flows when every endpoint is cold. Each endpoint still
+// gets its share, and the other flows are reset with the cause cold.
+func TestAllEndpointsColdStillServe(t *testing.T) {
 	f := newFleet(2, 4)
 	f.contents.Revisions = make(map[carawaycart.LifetimeKey]carawaycart.StoreRevision)
 	for _, l := range f.contents.Lifetimes {
 		l.ColdLeft = 10 * time.Second
 		f.contents.Revisions[l.Key()] = 9
 	}
-	f.learn(start)
+	f.update(start)
 	served := 0
 	for n := range 100 {
 		d := f.routers[n%2].Decide(first(n, feed), start.Add(time.Duration(n)*5*time.Millisecond))
@@ -91,33 +91,33 @@
 	}
 }
 
-// The endpoints of a zone that comes back may have become cold before their
-// entries say so.
+// Guards against a burst of flows to a returning zone, whose endpoints may have become
+// cold before their entries say so.
 func TestReturningZoneCountsAsCold(t *testing.T) {
 	f := newFleet(1, 2)
 	f.contents.ZonesOut = []carawaycart.ZoneID{"a"}
-	f.learn(start)
+	f.update(start)
 	f.contents.ZonesOut = nil
-	f.learn(start.Add(time.Second))
+	f.update(start.Add(time.Second))
 	counts := make(map[carawaycart.EndpointID]int)
 	for n := range 50 {
 		counts[f.routers[0].Decide(first(n, feed), start.Add(time.Second+time.Duration(n)*time.Millisecond)).Endpoint]++
 	}
 	if counts["i-01"] > 5 {
-		t.Errorf("got %d flows at once at an endpoint of the zone that came back, want at most 5", counts["i-01"])
+		t.Errorf("got %d flows immediately at an endpoint of the returning zone, want at most 5", counts["i-01"])
 	}
 	counts["i-01"] = 0
 	for n := range 50 {
 		counts[f.routers[0].Decide(first(100+n, feed), start.Add(5*time.Second+time.Duration(n)*time.Millisecond)).Endpoint]++
 	}
 	if counts["i-01"] <= 5 {
-		t.Errorf("got %d flows at the endpoint 4 s after, want it warm", counts["i-01"])
+		t.Errorf("got %d flows at the endpoint 4 s after its zone returned, want more than 5, as for a warm one", counts["i-01"])
 	}
 }
 
 func ExampleNewColdShare() {
 	for rank := range 3 {
-		fmt.Println(steer.NewColdShare(11, 3, rank).Flows)
+		fmt.Println(steer.NewColdShare(11, 3, rank).FlowsPerSecond)
 	}
 	// Output:
 	// 2
--- a/core/steer/endpoint.go
+++ b/core/steer/endpoint.go
@@ -8,193 +8,205 @@
 	"carawaycart/core/directory"
 )
 
-// endpoint is one lifetime in a Table. It does not change; what is learnt about
-// the lifetime stands in record, which later tables share.
+// endpoint is one lifetime in a Table. It is immutable except for state, which is
+// shared with later tables.
 type endpoint struct {
-	lifetime  carawaycart.Lifetime
-	token     carawaycart.Token
-	presence  directory.Presence
-	coldUntil time.Time
-	coldShare ColdShare
-	warmUntil time.Time // after the cold time, while its profile favours others
-	returning time.Time // its zone was taken back; entries from before this may be old
-	record    *record
+	lifetime        carawaycart.Lifetime
+	token           carawaycart.Token
+	presence        directory.Presence
+	coldUntil       time.Time
+	coldShare       ColdShare
+	warmUntil       time.Time // end of the warm-up after the cold time, during which other endpoints are preferred
+	returnColdUntil time.Time // end of returnColdPeriod after the return of the zone
+	state           *state
 }
 
-// returnCold is how long the endpoints of a zone that comes back count as cold
-// at least: their entries may be a heartbeat and a read old.
-const returnCold = 3 * time.Second
+// returnColdPeriod is the minimum time for which the endpoints of a returning zone
+// count as cold. Their entries may be outdated by a heartbeat and a read, and miss
+// that the endpoints have become cold.
+const returnColdPeriod = 3 * time.Second
 
-// newEndpoint returns the endpoint for s at now. Previous is the same lifetime
-// in the table before, or nil; returned tells that its zone was just taken back.
+// newEndpoint returns the endpoint for s at now. Previous is the same lifetime in
+// the preceding table, or nil; returned reports whether its zone has just
+// returned.
 func newEndpoint(s *directory.Seen, previous *endpoint, returned bool, now time.Time) *endpoint {
 	e := &endpoint{lifetime: s.Lifetime, presence: s.Presence, coldUntil: s.ColdUntil}
 	if previous != nil {
-		e.record, e.returning = previous.record, previous.returning
+		e.state, e.returnColdUntil = previous.state, previous.returnColdUntil
 	} else {
-		e.record = &record{}
+		e.state = &state{}
 	}
 	if returned {
-		e.returning = now.Add(returnCold)
+		e.returnColdUntil = now.Add(returnColdPeriod)
 	}
-	if e.returning.After(e.coldUntil) {
-		e.coldUntil = e.returning
+	if e.returnColdUntil.After(e.coldUntil) {
+		e.coldUntil = e.returnColdUntil
 	}
 	return e
 }
 
-// candidate returns how the endpoint stands for a new flow at now.
+// candidate returns the state of e as a Candidate for a new flow at now, for an
+// instance in zone.
 func (e *endpoint) candidate(zone carawaycart.ZoneID, now time.Time) Candidate {
-	r := e.record
+	r := e.state
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := Candidate{
 		Outstanding: r.opening + r.waiting, Open: r.open, Slots: e.lifetime.Slots,
 		SameZone: e.lifetime.Zone == zone, Lapsed: e.presence == directory.Lapsed,
-		Avoided: r.misses > 0 && (now.Before(r.avoid) || r.opening > 0),
-		Silent:  r.silent, Failing: r.tally.failing(now),
+		Avoided: r.timeouts > 0 && (now.Before(r.avoidUntil) || r.opening > 0),
+		Silent:  r.silent, Failing: r.outcomeCounts.failing(now),
 	}
 	c.Cold = now.Before(e.warmUntil)
 	if now.Before(e.coldUntil) {
 		c.Cold = true
-		c.Full = !e.coldShare.Allows(r.taken, r.coldSum, now)
+		c.Full = !e.coldShare.Allows(r.recentColdFlows, r.coldFlows, now)
 	}
 	return c
 }
 
-// take notes that a new flow was given to the endpoint at now.
-func (e *endpoint) take(now time.Time) {
-	r := e.record
+// recordFlow records that the first packet of a flow is sent to e at now.
+func (e *endpoint) recordFlow(now time.Time) {
+	r := e.state
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.opening++
 	if now.Before(e.coldUntil) {
-		r.taken = e.coldShare.Note(r.taken, now)
-		r.coldSum++
+		r.recentColdFlows = e.coldShare.Record(r.recentColdFlows, now)
+		r.coldFlows++
 	} else {
-		r.coldSum = 0
+		r.coldFlows = 0
 	}
 }
 
 const (
-	firstAvoidance = 500 * time.Millisecond
-	maxDoublings   = 3
-	doubtMisses    = 2 // in a row, after which the endpoint is probed
-	silentProbes   = 2 // in a row without an answer, after which it is silent
+	// minAvoidance is the time for which an endpoint is avoided after its first
+	// timeout. It doubles with every further timeout in a row, at most
+	// maxAvoidanceDoublings times.
+	minAvoidance             = 500 * time.Millisecond
+	maxAvoidanceDoublings    = 3
+	timeoutsBeforeProbe      = 2 // consecutive timeouts after which the endpoint is probed
+	failedProbesBeforeSilent = 2 // consecutive failed probes after which the endpoint is silent
 )
 
-// record is what an instance has learnt of one lifetime.
-type record struct {
-	mu       sync.Mutex
-	opening  int // first packets that may still be answered
-	waiting  int // requests that were not answered yet
-	open     int // flows known here
-	misses   int // first packets or requests in a row that went unanswered
-	probes   int // in a row that went unanswered
-	silent   bool
-	avoid    time.Time
-	answered time.Time
-	taken    []time.Time // when it was given flows while cold, lately
-	coldSum  int         // flows that it was given while cold
-	tally    tally       // of requests, seen here and by peers
-	unshared Outcomes    // seen here and not told to peers
+// state holds what an instance has measured of one lifetime. It is safe for
+// concurrent use.
+type state struct {
+	mu              sync.Mutex
+	opening         int // first packets that may still be answered
+	waiting         int // requests that have not been answered yet
+	open            int // open flows that the instance tracks
+	timeouts        int // consecutive unanswered first packets or requests
+	failedProbes    int // consecutive unanswered probes
+	silent          bool
+	avoidUntil      time.Time
+	answeredAt      time.Time     // when the endpoint last answered
+	recentColdFlows []time.Time   // when the latest flows were forwarded to it while cold
+	coldFlows       int           // number of flows that were forwarded to it while cold
+	outcomeCounts   outcomeCounts // outcomes of requests, observed locally and reported by peers
+	unreported      Outcomes      // local outcomes that have not been reported to peers
 }
 
-// outcome notes outcomes that were seen here at now.
-func (r *record) outcome(failed, answered int, now time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.tally.add(float64(failed), float64(answered), now)
-	r.unshared.Failed += failed
-	r.unshared.Answered += answered
+// recordOutcomes adds outcomes that were observed locally at now.
+func (s *state) recordOutcomes(failed, answered int, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.outcomeCounts.add(float64(failed), float64(answered), now)
+	s.unreported.Failed += failed
+	s.unreported.Answered += answered
 }
 
-// told notes outcomes that a peer has seen.
-func (r *record) told(failed, answered float64, now time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.tally.add(failed, answered, now)
+// mergePeerOutcomes adds outcomes that a peer has reported. They are not reported
+// to peers again.
+func (s *state) mergePeerOutcomes(failed, answered float64, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.outcomeCounts.add(failed, answered, now)
 }
 
-// takeOutcomes returns what was not told to peers yet.
-func (r *record) takeOutcomes() Outcomes {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	o := r.unshared
-	r.unshared = Outcomes{}
+// flushOutcomes returns the outcomes that have not been reported to peers and resets
+// them.
+func (s *state) flushOutcomes() Outcomes {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	o := s.unreported
+	s.unreported = Outcomes{}
 	return o
 }
 
-// answer notes that the endpoint has answered at now, and reports whether it
-// was in doubt.
-func (r *record) answer(now time.Time) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	doubt := r.misses > 0
-	r.misses, r.probes, r.silent, r.avoid, r.answered = 0, 0, false, time.Time{}, now
-	return doubt
+// recordAnswer records an answer of the endpoint at now and reports whether timeouts
+// preceded it.
+func (s *state) recordAnswer(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	recovered := s.timeouts > 0
+	s.timeouts, s.failedProbes, s.silent, s.avoidUntil, s.answeredAt = 0, 0, false, time.Time{}, now
+	return recovered
 }
 
-// answeredSince reports whether the endpoint has answered anything since when.
-func (r *record) answeredSince(when time.Time) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.answered.After(when)
+// answeredSince reports whether the endpoint has answered anything after when.
+func (s *state) answeredSince(when time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.answeredAt.After(when)
 }
 
-// miss notes that something sent at sent was unanswered at now, and returns how
-// long the endpoint is avoided, zero if an answer came since, and whether it is
-// to be probed.
-func (r *record) miss(sent, now time.Time) (period time.Duration, probe bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.answered.After(sent) {
+// recordTimeout records at now that a packet sent at sent is unanswered. It returns
+// the time for which the endpoint is avoided, zero if it has answered anything since
+// sent, and whether it is to be probed.
+func (s *state) recordTimeout(sent, now time.Time) (period time.Duration, probe bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.answeredAt.After(sent) {
 		return 0, false
 	}
-	period = firstAvoidance << min(r.misses, maxDoublings)
-	r.misses++
-	r.avoid = now.Add(period)
-	return period, r.misses >= doubtMisses && !r.silent
+	period = minAvoidance << min(s.timeouts, maxAvoidanceDoublings)
+	s.timeouts++
+	s.avoidUntil = now.Add(period)
+	return period, s.timeouts >= timeoutsBeforeProbe && !s.silent
 }
 
-// probed notes the outcome of a probe that began at began: the endpoint is
-// silent if it answered neither two probes nor anything else since the first.
-func (r *record) probed(alive bool, began, now time.Time) (changed bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// recordProbe records the outcome of a probe that began at began and reports whether
+// the endpoint became silent or ceased to be. An endpoint is silent if it answers
+// neither failedProbesBeforeSilent consecutive probes nor anything else meanwhile.
+func (s *state) recordProbe(alive bool, began, now time.Time) (changed bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch {
 	case alive:
-		changed = r.silent
-		r.misses, r.probes, r.silent, r.avoid, r.answered = 0, 0, false, time.Time{}, now
-	case r.answered.After(began):
-		r.probes = 0
+		changed = s.silent
+		s.timeouts, s.failedProbes, s.silent, s.avoidUntil, s.answeredAt = 0, 0, false, time.Time{}, now
+	case s.answeredAt.After(began):
+		s.failedProbes = 0
 	default:
-		r.probes++
-		changed = !r.silent && r.probes >= silentProbes
-		r.silent = r.silent || changed
+		s.failedProbes++
+		changed = !s.silent && s.failedProbes >= failedProbesBeforeSilent
+		s.silent = s.silent || changed
 	}
 	return changed
 }
 
-// doubted reports whether the endpoint has to be probed again.
-func (r *record) doubted() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.silent || r.probes > 0
+// needsProbe reports whether the endpoint has to be probed again, because it is
+// silent or its last probe failed.
+func (s *state) needsProbe() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.silent || s.failedProbes > 0
 }
 
-// isSilent reports whether the endpoint answers nothing.
-func (r *record) isSilent() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.silent
+// isSilent reports whether the endpoint answers neither packets nor probes.
+func (s *state) isSilent() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.silent
 }
 
-// adjust changes the counts of what is outstanding.
-func (r *record) adjust(opening, waiting, open int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.opening += opening
-	r.waiting += waiting
-	r.open += open
+// adjustCounts adds the arguments to the counts of first packets without an answer,
+// of requests without an answer, and of open flows.
+func (s *state) adjustCounts(opening, waiting, open int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.opening += opening
+	s.waiting += waiting
+	s.open += open
 }
--- a/core/steer/explain.go
+++ b/core/steer/explain.go
@@ -9,7 +9,7 @@
 	"carawaycart/core/directory"
 )
 
-// EndpointView is what an instance knows of one lifetime.
+// EndpointView is the state of one lifetime as an instance sees it.
 type EndpointView struct {
 	Lifetime    carawaycart.Lifetime
 	Token       carawaycart.Token
@@ -22,7 +22,8 @@
 	Open        int
 }
 
-// Endpoints returns what is known of all lifetimes at now, ordered by ID.
+// Endpoints returns the state of all lifetimes at now, ordered by ID and time of
+// birth. It returns nil without a table.
 func (r *Router) Endpoints(now time.Time) []EndpointView {
 	t := r.table.Load()
 	if t == nil {
@@ -46,17 +47,18 @@
 	}
 }
 
-// FlowView is what an instance knows of one flow.
+// FlowView is the state of one flow as an instance sees it. The zero value means
+// that neither a route nor a packet of the flow is known.
 type FlowView struct {
-	Routed   bool // the configuration has a route for its address
-	Seen     bool // packets of it passed here lately
+	Routed   bool // whether the configuration has a route for its service address
+	Seen     bool // whether the instance has a record of the flow
 	Endpoint EndpointView
-	Opened   time.Time // when its first packet passed here
-	Waiting  bool      // for the answer to a request
-	Tried    int       // endpoints that its first packet was sent to
+	Opened   time.Time // when the record of the flow was created
+	Waiting  bool      // whether a request is unanswered
+	Tried    int       // number of endpoints that its first packet was sent to
 }
 
-// Flow returns what is known at now of the flow with the given key.
+// Flow returns the state of the flow with the given key at now.
 func (r *Router) Flow(key *carawaycart.FlowKey, now time.Time) FlowView {
 	t := r.table.Load()
 	if t == nil || !key.Caller.Addr().Is4() || !key.Service.Addr().Is4() {
@@ -64,10 +66,10 @@
 	}
 	id := newFlowID(key)
 	v := FlowView{Routed: t.routes[id.service] != nil}
-	s := r.flows.shard(id)
+	s := r.flows.lockShard(id)
 	defer s.mu.Unlock()
 	if f := s.flows[id]; f != nil {
-		v.Seen, v.Opened, v.Waiting, v.Tried = true, f.opened, f.waiting, len(f.tried)+1
+		v.Seen, v.Opened, v.Waiting, v.Tried = true, f.openedAt, f.waiting, len(f.tried)+1
 		v.Endpoint = f.endpoint.view(r.zone, now)
 	}
 	return v
--- a/core/steer/fixture_test.go
+++ b/core/steer/fixture_test.go
@@ -18,20 +18,20 @@
 	order = netip.MustParseAddrPort("198.18.0.1:8080") // unsafe, more urgent
 )
 
-// events counts what a router reports.
+// events counts what a router reports. It implements steer.Observer.
 type events struct {
-	refused  map[carawaycart.Cause]int
-	hedged   int
-	avoided  int
-	doubted  []carawaycart.EndpointID
-	silenced map[carawaycart.EndpointID]bool
-	failing  []steer.Outcomes
+	refused         map[carawaycart.Cause]int
+	hedged          int
+	avoided         int
+	probeRequests   []carawaycart.EndpointID
+	silentEndpoints map[carawaycart.EndpointID]bool
+	failing         []steer.Outcomes
 
 	overloads []steer.Overload
 }
 
 func newEvents() *events {
-	return &events{refused: make(map[carawaycart.Cause]int), silenced: make(map[carawaycart.EndpointID]bool)}
+	return &events{refused: make(map[carawaycart.Cause]int), silentEndpoints: make(map[carawaycart.EndpointID]bool)}
 }
 
 func (e *events) Placed(_ *carawaycart.FlowKey, _ carawaycart.EndpointID, _ *steer.Candidate, how steer.Placing) {
@@ -44,9 +44,11 @@
 	e.refused[c]++
 }
 func (e *events) Avoided(carawaycart.EndpointID, string, time.Duration) { e.avoided++ }
-func (e *events) Doubted(l *carawaycart.Lifetime)                       { e.doubted = append(e.doubted, l.ID) }
-func (e *events) Silenced(id carawaycart.EndpointID, silent bool)       { e.silenced[id] = silent }
-func (e *events) Failing(o []steer.Outcomes)                            { e.failing = append(e.failing, o...) }
+func (e *events) Doubted(l *carawaycart.Lifetime)                       { e.probeRequests = append(e.probeRequests, l.ID) }
+
+func (e *events) Silenced(id carawaycart.EndpointID, silent bool) { e.silentEndpoints[id] = silent }
+
+func (e *events) Failing(o []steer.Outcomes) { e.failing = append(e.failing, o...) }
 
 func (e *events) Overloaded(o steer.Overload)      { e.overloads = append(e.overloads, o) }
 func (e *events) Recovered(carawaycart.EndpointID) {}
@@ -61,8 +63,8 @@
 	events   []*events
 }
 
-// newFleet returns routers in two zones before a service with the given number
-// of warm endpoints, spread over the zones.
+// newFleet returns routers in two zones in front of one service with the given number
+// of warm endpoints, which are distributed over the zones.
 func newFleet(instances, endpoints int) *fleet {
 	f := &fleet{roster: directory.NewRoster(), zones: []carawaycart.ZoneID{"a", "b"}}
 	f.contents.Config = &carawaycart.RouteConfig{
@@ -93,7 +95,7 @@
 		f.events = append(f.events, nil)
 		f.restart(i)
 	}
-	f.learn(start)
+	f.update(start)
 	return f
 }
 
@@ -102,17 +104,18 @@
 	f.routers[i] = steer.NewRouter(f.zones[i%2], rand.NewPCG(1, uint64(i)), f.events[i])
 }
 
-// learn lets all routers know the contents at now.
-func (f *fleet) learn(now time.Time) {
+// update builds new tables from the contents for all routers at now.
+func (f *fleet) update(now time.Time) {
 	f.revision++
 	f.roster.Update(&f.contents, now)
 	for i := range f.routers {
-		f.table(i, f.contents.Instances, now)
+		f.setTable(i, f.contents.Instances, now)
 	}
 }
 
-// table lets router i decide by the contents, with the members that it knows.
-func (f *fleet) table(i int, members []carawaycart.Registration, now time.Time) {
+// setTable builds a new table from the contents for router i, which knows only the
+// given members.
+func (f *fleet) setTable(i int, members []carawaycart.Registration, now time.Time) {
 	c := f.contents
 	c.Instances = members
 	f.routers[i].SetTable(steer.NewTable(&steer.Input{
@@ -130,7 +133,7 @@
 	return nil
 }
 
-// remove takes the entry of an endpoint away.
+// remove deletes the entry of an endpoint.
 func (f *fleet) remove(id carawaycart.EndpointID) {
 	for i, l := range f.contents.Lifetimes {
 		if l.ID == id {
@@ -149,7 +152,8 @@
 	return &carawaycart.Packet{Key: key(flow, service), Kind: carawaycart.PacketFirst, Sequence: 1000}
 }
 
-// acknowledgement answers the endpoint's answer to a first packet.
+// acknowledgement returns the caller's acknowledgement of the answer to its first
+// packet.
 func acknowledgement(flow int, service netip.AddrPort, t carawaycart.Token) *carawaycart.Packet {
 	return &carawaycart.Packet{Key: key(flow, service), Sequence: 1001, Acknowledged: 500, Token: t}
 }
@@ -160,7 +164,7 @@
 	return p
 }
 
-// answered acknowledges the answer to a request.
+// answered returns the caller's acknowledgement of the answer to a request.
 func answered(flow int, service netip.AddrPort, t carawaycart.Token) *carawaycart.Packet {
 	p := acknowledgement(flow, service, t)
 	p.Sequence, p.Acknowledged = 1201, 1500
--- a/core/steer/flows.go
+++ b/core/steer/flows.go
@@ -12,47 +12,50 @@
 const (
 	flowShardBits = 4
 	flowShards    = 1 << flowShardBits
-	maxShardSize  = 8192 // flows; more are forwarded all the same, without being watched
-	flowIdle      = 15 * time.Second
-	sweepPeriod   = 5 * time.Second
+	// maxShardFlows bounds the tracked flows of a shard. Flows beyond it are
+	// forwarded untracked.
+	maxShardFlows   = 8192
+	flowIdleTimeout = 15 * time.Second
+	sweepPeriod     = 5 * time.Second
 )
 
-// flow is what an instance has seen of one flow. It serves placement only.
+// flow is the record that an instance keeps of one flow. It is used only to place
+// new flows.
 type flow struct {
-	endpoint *endpoint
-	tried    []*endpoint // which the first packet was sent to before
-	opened   time.Time
-	sent     time.Time // when the first packet was sent to endpoint
-	last     time.Time
-	phase    phase
-	waiting  bool // a request was sent and not answered
-	overdue  bool // waiting for longer than usual; counts neither as outstanding nor as open
-	slow     bool // noted as slow, while waiting
-	asked    time.Time
-
-	objective *objective // nil if it is not known which target the flow went to
-	sequence  uint32
-	acked     uint32
+	endpoint    *endpoint
+	tried       []*endpoint // endpoints that the first packet was sent to before
+	openedAt    time.Time   // when the record was created
+	sentAt      time.Time   // when the first packet was sent to endpoint
+	lastSeen    time.Time   // when the last packet passed
+	phase       phase
+	waiting     bool      // whether a request is unanswered
+	overdue     bool      // whether the unanswered request was abandoned; the flow then counts neither as outstanding nor as open
+	slow        bool      // whether the unanswered request was recorded as slow
+	requestedAt time.Time // when the unanswered request was sent
+
+	objective    *objective // nil if the target of the flow is unknown
+	sequence     uint32     // highest sequence number seen
+	acknowledged uint32     // highest acknowledgement number seen
 }
 
-// phase is how far a flow has come.
+// phase is the state of a flow with respect to its first packet.
 type phase uint8
 
 const (
-	phaseOpening phase = iota // the first packet may still be answered
-	phaseSilent               // the first packet was not answered in time by anyone
-	phaseOpen                 // the caller has acknowledged the endpoint's answer
+	phaseOpening    phase = iota // the first packet may still be answered
+	phaseUnanswered              // no endpoint has answered the first packet in time
+	phaseOpen                    // the caller has acknowledged the endpoint's answer
 )
 
-// flowTable holds the flows that an instance watches, in shards.
+// flowTable holds the flows that an instance tracks, in shards by caller.
 type flowTable struct {
 	shards [flowShards]flowShard
 }
 
 type flowShard struct {
-	mu    sync.Mutex
-	flows map[flowID]*flow
-	sweep time.Time // when idle flows are looked for next
+	mu        sync.Mutex
+	flows     map[flowID]*flow
+	nextSweep time.Time // when idle flows are removed next
 }
 
 func newFlowTable() *flowTable {
@@ -63,8 +66,8 @@
 	return t
 }
 
-// flowID is a FlowKey in a form that is quick to hash; tokens are carried by
-// IPv4 formats only.
+// flowID is a FlowKey in a form that hashes quickly. It covers IPv4 only, as do the
+// formats that carry tokens.
 type flowID struct{ caller, service packedAddress }
 
 // packedAddress is an IPv4 address and port.
@@ -77,38 +80,40 @@
 
 func newFlowID(k *carawaycart.FlowKey) flowID { return flowID{pack(k.Caller), pack(k.Service)} }
 
-// shard returns the shard of id, locked.
-func (t *flowTable) shard(id flowID) *flowShard {
-	const mix = 0x9e3779b97f4a7c15 // 2^64 by the golden ratio, as in Knuth, "The Art of Computer Programming", 6.4
-	s := &t.shards[uint64(id.caller)*mix>>(64-flowShardBits)]
+// lockShard locks and returns the shard of id.
+func (t *flowTable) lockShard(id flowID) *flowShard {
+	const multiplier = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio, as in Knuth, "The Art of Computer Programming", 6.4
+	s := &t.shards[uint64(id.caller)*multiplier>>(64-flowShardBits)]
 	s.mu.Lock()
 	return s
 }
 
-// put adds f at now, unless the shard is full of flows that are not idle.
-func (s *flowShard) put(key flowID, f *flow, now time.Time) bool {
-	if !now.Before(s.sweep) || len(s.flows) >= maxShardSize {
-		s.sweep = now.Add(sweepPeriod)
+// insert adds f at now and reports whether it did; a shard full of flows that are not
+// idle takes no more. Idle flows are removed every sweepPeriod and when the shard
+// is full.
+func (s *flowShard) insert(key flowID, f *flow, now time.Time) bool {
+	if !now.Before(s.nextSweep) || len(s.flows) >= maxShardFlows {
+		s.nextSweep = now.Add(sweepPeriod)
 		for k, old := range s.flows {
-			if now.Sub(old.last) > flowIdle {
+			if now.Sub(old.lastSeen) > flowIdleTimeout {
 				s.remove(k, old)
 			}
 		}
 	}
-	if len(s.flows) >= maxShardSize {
+	if len(s.flows) >= maxShardFlows {
 		return false
 	}
 	s.flows[key] = f
 	return true
 }
 
-// remove forgets f and what it counted for.
+// remove deletes f and subtracts it from the counts of its endpoint.
 func (s *flowShard) remove(key flowID, f *flow) {
 	delete(s.flows, key)
-	f.endpoint.record.adjust(-one(f.phase == phaseOpening), -one(f.waiting && !f.overdue), -one(f.phase == phaseOpen && !f.overdue))
+	f.endpoint.state.adjustCounts(-boolToInt(f.phase == phaseOpening), -boolToInt(f.waiting && !f.overdue), -boolToInt(f.phase == phaseOpen && !f.overdue))
 }
 
-func one(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/core/steer/outcomes.go
+++ b/core/steer/outcomes.go
@@ -8,166 +8,174 @@
 )
 
 const (
-	outcomeHalfLife = 4 * time.Second        // of what is remembered of an endpoint's answers
-	minFailures     = 1.9                    // remembered, for an endpoint to count as failing
-	maxFailureShare = 0.3                    // of the answers; a queue that is full by chance fails fewer
-	maxTold         = 1                      // failures taken over from one report of a peer: one instance alone condemns nobody
-	reportPeriod    = 300 * time.Millisecond // between reports to peers
-	maxAwaited      = 4096                   // requests that are watched for an answer
-	abandonPeriod   = 3 * time.Second        // after which an unanswered request is taken for given up
+	outcomeHalfLife = 4 * time.Second // half-life of the counted outcomes of an endpoint
+	minFailures     = 1.9             // decayed count of failures from which an endpoint can be failing
+	// maxFailureShare is the share of failed requests above which an endpoint is
+	// failing. A queue that fills up by chance fails fewer.
+	maxFailureShare = 0.3
+	// maxPeerFailures bounds the failures that are merged from one report of a
+	// peer, so that no single instance can make an endpoint count as failing.
+	maxPeerFailures     = 1
+	outcomeReportPeriod = 300 * time.Millisecond // minimum time between reports to peers
+	maxPendingRequests  = 4096                   // bounds the requests that are tracked until they are answered
+	abandonTimeout      = 3 * time.Second        // time after the answer timeout at which a request counts as abandoned by its caller
 )
 
-// Bounds of the patience for answers to requests. Endpoints work longer than a
-// first packet takes, and the spread of the work is wide.
+// Bounds of the timeout for answers to requests. Requests take longer than first
+// packets, and their processing times vary widely.
 const (
-	minAnswerPatience     = 150 * time.Millisecond
-	maxAnswerPatience     = time.Second
-	initialAnswerPatience = 500 * time.Millisecond
+	minAnswerTimeout     = 150 * time.Millisecond
+	maxAnswerTimeout     = time.Second
+	initialAnswerTimeout = 500 * time.Millisecond
 )
 
-// tally remembers the outcomes of an endpoint's requests, older ones less.
-type tally struct {
+// outcomeCounts counts the outcomes of an endpoint's requests. The counts decay with
+// outcomeHalfLife.
+type outcomeCounts struct {
 	failed, answered float64
-	at               time.Time
+	updatedAt        time.Time
 }
 
-// add takes in outcomes that were seen at now.
-func (t *tally) add(failed, answered float64, now time.Time) {
-	if !t.at.IsZero() {
-		rest := math.Exp2(-float64(now.Sub(t.at)) / float64(outcomeHalfLife))
-		t.failed *= rest
-		t.answered *= rest
+// add decays the counts to now and adds the given outcomes.
+func (c *outcomeCounts) add(failed, answered float64, now time.Time) {
+	if !c.updatedAt.IsZero() {
+		decay := math.Exp2(-float64(now.Sub(c.updatedAt)) / float64(outcomeHalfLife))
+		c.failed *= decay
+		c.answered *= decay
 	}
-	t.at = now
-	t.failed += failed
-	t.answered += answered
+	c.updatedAt = now
+	c.failed += failed
+	c.answered += answered
 }
 
-// failing reports whether the endpoint leaves too many requests unanswered.
-func (t *tally) failing(now time.Time) bool {
-	if t.failed == 0 {
+// failing reports whether the endpoint leaves too many requests unanswered at now.
+func (c *outcomeCounts) failing(now time.Time) bool {
+	if c.failed == 0 {
 		return false
 	}
-	t.add(0, 0, now)
-	return t.failed >= minFailures && t.failed > maxFailureShare*(t.failed+t.answered)
+	c.add(0, 0, now)
+	return c.failed >= minFailures && c.failed > maxFailureShare*(c.failed+c.answered)
 }
 
-// Outcomes counts what became of the requests that an endpoint was sent.
+// Outcomes counts the failed and the answered requests of the endpoint with Token.
 type Outcomes struct {
 	Token    carawaycart.Token
 	Failed   int
 	Answered int
 }
 
-// awaited is a request whose answer has not been seen.
-type awaited struct {
-	id    flowID
-	asked time.Time
-	due   time.Time
+// pending is a request that had no answer when it was enqueued.
+type pending struct {
+	id          flowID
+	requestedAt time.Time
+	deadline    time.Time
 }
 
-// await watches for the answer to the request that f was sent at now.
-func (r *Router) await(id flowID, f *flow, now time.Time) {
+// trackRequest enqueues the request that f sent at now for its slow threshold and its
+// answer timeout. Requests with an unknown target are not tracked.
+func (r *Router) trackRequest(id flowID, f *flow, now time.Time) {
 	if f.objective == nil {
 		return
 	}
 	a := f.objective.admission
-	slow, due := now.Add(a.Allowance(f.objective.priority, f.objective.answer)), now.Add(a.patience())
+	slow, deadline := now.Add(a.SlowThreshold(f.objective.priority, f.objective.answerTarget)), now.Add(a.answerTimeout())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.awaited) < maxAwaited {
-		r.slow = append(r.slow, awaited{id: id, asked: now, due: slow})
-		r.awaited = append(r.awaited, awaited{id: id, asked: now, due: due})
+	if len(r.pending) < maxPendingRequests {
+		r.slow = append(r.slow, pending{id: id, requestedAt: now, deadline: slow})
+		r.pending = append(r.pending, pending{id: id, requestedAt: now, deadline: deadline})
 	}
 }
 
-// sweep takes note of the requests that were not answered by now, and reports
-// what the peers should know.
+// processDeadlines records the requests whose deadlines passed unanswered by now as
+// slow, failed or abandoned, and reports outcomes for the peers.
 //
-// What goes unanswered counts as outstanding for a while longer: an endpoint
-// that drops its requests would look idle otherwise, and draw more of them.
-func (r *Router) sweep(now time.Time) {
-	for a, ok := r.nextDue(&r.slow, now); ok; a, ok = r.nextDue(&r.slow, now) {
-		s := r.flows.shard(a.id)
-		if f := s.flows[a.id]; f != nil && f.waiting && f.asked.Equal(a.asked) {
-			if f.endpoint.record.answeredSince(f.asked) {
+// An unanswered request counts as outstanding for abandonTimeout longer: an endpoint
+// that drops its requests would otherwise appear idle and attract more of them.
+func (r *Router) processDeadlines(now time.Time) {
+	for a, ok := r.popDue(&r.slow, now); ok; a, ok = r.popDue(&r.slow, now) {
+		s := r.flows.lockShard(a.id)
+		if f := s.flows[a.id]; f != nil && f.waiting && f.requestedAt.Equal(a.requestedAt) {
+			if f.endpoint.state.answeredSince(f.requestedAt) {
 				f.slow = true
-				f.objective.admission.Slow(now)
+				f.objective.admission.RecordSlow(now)
 			}
 		}
 		s.mu.Unlock()
 	}
-	for a, ok := r.nextDue(&r.awaited, now); ok; a, ok = r.nextDue(&r.awaited, now) {
-		s := r.flows.shard(a.id)
-		if f := s.flows[a.id]; f != nil && f.waiting && f.asked.Equal(a.asked) {
-			f.endpoint.record.outcome(1, 0, now)
-			r.noteFailing(f.endpoint)
-			a.due = now.Add(abandonPeriod)
+	for a, ok := r.popDue(&r.pending, now); ok; a, ok = r.popDue(&r.pending, now) {
+		s := r.flows.lockShard(a.id)
+		if f := s.flows[a.id]; f != nil && f.waiting && f.requestedAt.Equal(a.requestedAt) {
+			f.endpoint.state.recordOutcomes(1, 0, now)
+			r.scheduleReport(f.endpoint)
+			a.deadline = now.Add(abandonTimeout)
 			r.mu.Lock()
 			r.overdue = append(r.overdue, a)
 			r.mu.Unlock()
 		}
 		s.mu.Unlock()
 	}
-	for a, ok := r.nextDue(&r.overdue, now); ok; a, ok = r.nextDue(&r.overdue, now) {
-		s := r.flows.shard(a.id)
-		if f := s.flows[a.id]; f != nil && f.waiting && f.asked.Equal(a.asked) {
+	for a, ok := r.popDue(&r.overdue, now); ok; a, ok = r.popDue(&r.overdue, now) {
+		s := r.flows.lockShard(a.id)
+		if f := s.flows[a.id]; f != nil && f.waiting && f.requestedAt.Equal(a.requestedAt) {
 			f.overdue = true
-			f.endpoint.record.adjust(0, -1, -1)
+			f.endpoint.state.adjustCounts(0, -1, -1)
 		}
 		s.mu.Unlock()
 	}
-	r.report(now)
+	r.reportOutcomes(now)
 }
 
-// nextDue takes the first of queue if it is due at now.
-func (r *Router) nextDue(queue *[]awaited, now time.Time) (awaited, bool) {
+// popDue removes and returns the first request of queue if its deadline has passed at
+// now.
+func (r *Router) popDue(queue *[]pending, now time.Time) (pending, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(*queue) == 0 || (*queue)[0].due.After(now) {
-		return awaited{}, false
+	if len(*queue) == 0 || (*queue)[0].deadline.After(now) {
+		return pending{}, false
 	}
 	a := (*queue)[0]
 	*queue = (*queue)[1:]
 	return a, true
 }
 
-// noteFailing has e reported to the peers.
-func (r *Router) noteFailing(e *endpoint) {
+// scheduleReport includes the outcomes of e in the next report to the peers.
+func (r *Router) scheduleReport(e *endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failing[e.token] = e.record
+	r.unreported[e.token] = e.state
 }
 
-// report tells the observer which endpoints left requests unanswered.
-func (r *Router) report(now time.Time) {
+// reportOutcomes reports the outcomes of endpoints that left requests unanswered to
+// the observer, at most once every outcomeReportPeriod.
+func (r *Router) reportOutcomes(now time.Time) {
 	r.mu.Lock()
-	if len(r.failing) == 0 || now.Sub(r.reported) < reportPeriod {
+	if len(r.unreported) == 0 || now.Sub(r.reportedAt) < outcomeReportPeriod {
 		r.mu.Unlock()
 		return
 	}
-	r.reported = now
-	failing := r.failing
-	r.failing = make(map[carawaycart.Token]*record)
+	r.reportedAt = now
+	unreported := r.unreported
+	r.unreported = make(map[carawaycart.Token]*state)
 	r.mu.Unlock()
 	var outcomes []Outcomes
-	for token, record := range failing {
-		o := record.takeOutcomes()
+	for token, state := range unreported {
+		o := state.flushOutcomes()
 		o.Token = token
 		outcomes = append(outcomes, o)
 	}
 	r.observer.Failing(outcomes)
 }
 
-// TakeOutcomes takes in what a peer has seen of endpoints.
+// TakeOutcomes merges outcomes of endpoints that a peer has reported at now.
 func (r *Router) TakeOutcomes(outcomes []Outcomes, now time.Time) {
 	t := r.table.Load()
 	if t == nil {
 		return
 	}
 	for _, o := range outcomes {
-		if e := t.owners[o.Token]; e != nil {
-			e.record.told(min(float64(o.Failed), maxTold), float64(o.Answered), now)
+		if e := t.byToken[o.Token]; e != nil {
+			e.state.mergePeerOutcomes(min(float64(o.Failed), maxPeerFailures), float64(o.Answered), now)
 		}
 	}
 }
--- a/core/steer/router.go
+++ b/core/steer/router.go
@@ -11,65 +11,72 @@
 )
 
 const (
-	resendPeriod = 150 * time.Millisecond // ends resend after 200 ms; less is a duplicate of the network
-	maxTried     = 3                      // endpoints that one first packet is sent to before its copy comes
+	// minResendInterval is the age from which a repeated packet counts as resent.
+	// The ends resend after 200 ms; earlier repetitions are duplicates made by the
+	// network.
+	minResendInterval       = 150 * time.Millisecond
+	maxFirstPacketEndpoints = 3 // bounds the endpoints that a first packet is sent to before the caller resends it
 )
 
-// Observer is told what decisions are made of and what they change.
+// Observer is notified of the decisions of a Router and of state changes of endpoints.
 type Observer interface {
-	// Placed is told that a first packet was given to an endpoint.
+	// Placed is called when a first packet is forwarded to an endpoint.
 	Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *Candidate, how Placing)
-	// Refused is told that a packet was not forwarded.
+	// Refused is called when a packet is not forwarded.
 	Refused(p *carawaycart.Packet, c carawaycart.Cause, reset bool, revision carawaycart.StoreRevision)
-	// Avoided is told that an endpoint left something unanswered.
+	// Avoided is called when an endpoint is avoided for period because a packet was
+	// unanswered: a first packet if what is "first", data if it is "data".
 	Avoided(e carawaycart.EndpointID, what string, period time.Duration)
-	// Doubted is told that an endpoint should be probed.
+	// Doubted is called when an endpoint is to be probed.
 	Doubted(l *carawaycart.Lifetime)
-	// Silenced is told that an endpoint answers nothing, or does again.
+	// Silenced is called when an endpoint becomes silent or answers again.
 	Silenced(e carawaycart.EndpointID, silent bool)
-	// Failing is told that endpoints left requests unanswered.
+	// Failing is called with the outcomes of endpoints that left requests unanswered.
 	Failing(outcomes []Outcomes)
-	// Overloaded is told that new flows of a service are refused, or no longer.
+	// Overloaded is called when refusals of new flows of a service begin or end, and
+	// periodically in between.
 	Overloaded(o Overload)
-	// Recovered is told that an avoided endpoint has answered.
+	// Recovered is called when an endpoint answers after a timeout.
 	Recovered(e carawaycart.EndpointID)
 }
 
-// Router decides packets of one instance; it is safe for concurrent use. It
-// implements carawaycart.Router.
+// Router decides the packets of one instance. It implements carawaycart.Router and is
+// safe for concurrent use.
 type Router struct {
 	zone     carawaycart.ZoneID
 	table    atomic.Pointer[Table]
 	flows    *flowTable
 	observer Observer
 
-	mu         sync.Mutex // guards what follows
-	random     *rand.Rand
-	candidates []Candidate
-	patience   map[carawaycart.ZoneID]*patience // by zone of the endpoint
-	slow       []awaited                        // not slow until due, nearly in that order
-	awaited    []awaited                        // nearly in order of due
-	overdue    []awaited                        // not answered when due; in order of the new due
-	failing    map[carawaycart.Token]*record    // to be reported
-	reported   time.Time
+	mu               sync.Mutex // guards the fields below
+	random           *rand.Rand
+	candidates       []Candidate                              // buffer that is reused between placements
+	timeoutEstimator map[carawaycart.ZoneID]*timeoutEstimator // timeouts of first packets by the zone of the endpoint
+	slow             []pending                                // unanswered requests, nearly ordered by the deadline after which they are slow
+	pending          []pending                                // unanswered requests, nearly ordered by the deadline after which they have failed
+	overdue          []pending                                // failed requests, ordered by the deadline after which they are abandoned
+	unreported       map[carawaycart.Token]*state             // endpoints whose outcomes are to be reported
+	reportedAt       time.Time                                // when outcomes were last reported
 }
 
-// NewRouter returns a router for an instance in zone that draws random numbers
-// from source.
+// NewRouter returns a router without a table for an instance in zone. It takes its
+// random numbers from source.
 func NewRouter(zone carawaycart.ZoneID, source rand.Source, o Observer) *Router {
 	return &Router{
 		zone: zone, flows: newFlowTable(), observer: o, random: rand.New(source),
-		patience: make(map[carawaycart.ZoneID]*patience), failing: make(map[carawaycart.Token]*record),
+		timeoutEstimator: make(map[carawaycart.ZoneID]*timeoutEstimator), unreported: make(map[carawaycart.Token]*state),
 	}
 }
 
-// SetTable makes the router decide by t from now on.
+// SetTable replaces the table on which decisions are based.
 func (r *Router) SetTable(t *Table) { r.table.Store(t) }
 
-// Table returns the table that the router decides by, which may be nil.
+// Table returns the current table, or nil if none was set.
 func (r *Router) Table() *Table { return r.table.Load() }
 
-// Decide returns what is to be done at now with packet p.
+// Decide returns the decision for packet p at now. Without a complete table it drops
+// all packets. It resets a flow that sends data to a silent endpoint only if the
+// requests of the route may run more than once.
 func (r *Router) Decide(p *carawaycart.Packet, now time.Time) carawaycart.Decision {
 	t := r.table.Load()
 	if !t.Complete() {
@@ -81,18 +88,18 @@
 		return r.refuse(p, carawaycart.CauseNoRoute, true, t.Revision)
 	}
 	if p.Kind == carawaycart.PacketFirst {
-		return r.first(t, route, id, p, now)
+		return r.decideFirst(t, route, id, p, now)
 	}
-	e := t.owners[p.Token]
+	e := t.byToken[p.Token]
 	switch {
 	case e == nil:
 		return r.refuse(p, carawaycart.CauseUnknownToken, false, t.Revision)
 	case e.presence == directory.Ended:
 		return r.refuse(p, carawaycart.CauseEnded, true, t.Revision)
-	case p.DataBytes > 0 && route.repeatable && e.record.isSilent():
+	case p.DataBytes > 0 && route.repeatable && e.state.isSilent():
 		return r.refuse(p, carawaycart.CauseSilent, true, t.Revision)
 	}
-	r.watch(id, p, route, e, now)
+	r.trackPacket(id, p, route, e, now)
 	return forward(e)
 }
 
@@ -103,7 +110,7 @@
 	}
 }
 
-// refuse drops p, or resets its flow unless p is itself a reset.
+// refuse drops p. It resets the flow if reset is true and p is not itself a reset.
 func (r *Router) refuse(p *carawaycart.Packet, c carawaycart.Cause, reset bool, revision carawaycart.StoreRevision) carawaycart.Decision {
 	reset = reset && !p.Reset
 	r.observer.Refused(p, c, reset, revision)
@@ -113,19 +120,19 @@
 	return carawaycart.Decision{Verdict: carawaycart.VerdictDrop, Cause: c}
 }
 
-// first decides the first packet of a flow.
-func (r *Router) first(t *Table, route *route, id flowID, p *carawaycart.Packet, now time.Time) carawaycart.Decision {
-	r.sweep(now)
-	s := r.flows.shard(id)
+// decideFirst returns the decision for the first packet of a flow.
+func (r *Router) decideFirst(t *Table, route *route, id flowID, p *carawaycart.Packet, now time.Time) carawaycart.Decision {
+	r.processDeadlines(now)
+	s := r.flows.lockShard(id)
 	defer s.mu.Unlock()
 	var tried []*endpoint
 	if f := s.flows[id]; f != nil {
-		if f.phase == phaseOpen || now.Sub(f.opened) < resendPeriod {
-			f.last = now
-			return forward(f.endpoint) // a duplicate
+		if f.phase == phaseOpen || now.Sub(f.openedAt) < minResendInterval {
+			f.lastSeen = now
+			return forward(f.endpoint) // a duplicate made by the network
 		}
 		if f.phase == phaseOpening {
-			r.missed(f.endpoint, "first", f.sent, now)
+			r.handleTimeout(f.endpoint, "first", f.sentAt, now)
 		}
 		tried = append(tried, f.tried...)
 		tried = append(tried, f.endpoint)
@@ -147,91 +154,96 @@
 	if e == nil {
 		return r.refuse(p, cause, true, t.Revision)
 	}
-	e.take(now)
+	e.recordFlow(now)
 	f := &flow{
-		endpoint: e, opened: now, sent: now, last: now, sequence: p.Sequence,
+		endpoint: e, openedAt: now, sentAt: now, lastSeen: now, sequence: p.Sequence,
 		objective: to.objective,
 	}
-	if !s.put(id, f, now) {
-		e.record.adjust(-1, 0, 0)
+	if !s.insert(id, f, now) {
+		e.state.adjustCounts(-1, 0, 0)
 	}
 	return forward(e)
 }
 
-// Patience returns how long the answer to a first packet that was sent to an
-// endpoint in zone may take.
+// Patience returns the timeout for the answer to a first packet that is sent to an
+// endpoint in zone.
 func (r *Router) Patience(zone carawaycart.ZoneID) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.patienceOf(zone).limit(initialPatience, minPatience, maxPatience)
+	return r.estimatorFor(zone).timeout(initialFirstPacketTimeout, minFirstPacketTimeout, maxFirstPacketTimeout)
 }
 
-func (r *Router) patienceOf(zone carawaycart.ZoneID) *patience {
-	p := r.patience[zone]
-	if p == nil {
-		p = &patience{}
-		r.patience[zone] = p
+// estimatorFor returns the estimator for zone and adds it if there is none. The caller
+// holds mu.
+func (r *Router) estimatorFor(zone carawaycart.ZoneID) *timeoutEstimator {
+	e := r.timeoutEstimator[zone]
+	if e == nil {
+		e = &timeoutEstimator{}
+		r.timeoutEstimator[zone] = e
 	}
-	return p
+	return e
 }
 
-// Hedge returns where the first packet of the flow at key is to be sent besides,
-// if its answer is overdue at now. Whichever endpoint answers first is the one
-// that the caller acknowledges; it ignores the others.
+// Hedge returns the decision to send the first packet of the flow at key to another
+// endpoint if its answer is overdue at now, and whether it is to be sent. The caller
+// acknowledges the endpoint that answers first and ignores the others.
 func (r *Router) Hedge(key *carawaycart.FlowKey, now time.Time) (carawaycart.Decision, bool) {
 	t := r.table.Load()
 	id := newFlowID(key)
-	s := r.flows.shard(id)
+	s := r.flows.lockShard(id)
 	defer s.mu.Unlock()
 	f := s.flows[id]
 	if f == nil || f.phase != phaseOpening {
 		return carawaycart.Decision{}, false
 	}
-	r.missed(f.endpoint, "first", f.sent, now)
+	r.handleTimeout(f.endpoint, "first", f.sentAt, now)
 	f.tried = append(f.tried, f.endpoint)
 	var e *endpoint
-	if route := t.routes[id.service]; route != nil && len(f.tried) < maxTried {
+	if route := t.routes[id.service]; route != nil && len(f.tried) < maxFirstPacketEndpoints {
 		if to := r.target(route); to != nil {
 			e, _ = r.place(t, to, key, 0, f.tried, now)
 		}
 	}
-	f.endpoint.record.adjust(-1, 0, 0)
+	f.endpoint.state.adjustCounts(-1, 0, 0)
 	if e == nil || isTried(f.tried, e) {
-		f.phase = phaseSilent
+		f.phase = phaseUnanswered
 		return carawaycart.Decision{}, false
 	}
-	e.take(now)
-	f.endpoint, f.sent = e, now
+	e.recordFlow(now)
+	f.endpoint, f.sentAt = e, now
 	return forward(e), true
 }
 
+// isTried reports whether the lifetime of e is among tried. It compares the states,
+// since every table has its own endpoints.
 func isTried(tried []*endpoint, e *endpoint) bool {
 	for _, t := range tried {
-		if t.record == e.record {
+		if t.state == e.state {
 			return true
 		}
 	}
 	return false
 }
 
-// place chooses an endpoint for a flow, one that was not tried if there is any.
+// place chooses an endpoint of to for a flow, preferably one that was not tried. If
+// there is none, it returns nil and the cause.
 func (r *Router) place(t *Table, to *target, key *carawaycart.FlowKey, copied int, tried []*endpoint, now time.Time,
 ) (*endpoint, carawaycart.Cause) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	endpoints := to.endpoints
 	r.candidates = r.candidates[:0]
-	cold, silent := false, false
+	full, silent := false, false
 	for _, e := range endpoints {
 		c := e.candidate(r.zone, now)
 		c.Tried = isTried(tried, e)
-		cold, silent = cold || c.Full, silent || c.Silent
+		full, silent = full || c.Full, silent || c.Silent
 		r.candidates = append(r.candidates, c)
 	}
 	i := Choose(r.candidates, r.random.IntN)
 	if i < 0 {
 		switch {
-		case cold:
+		case full:
 			return nil, carawaycart.CauseCold
 		case silent:
 			return nil, carawaycart.CauseSilent
@@ -244,16 +256,16 @@
 	return endpoints[i], carawaycart.CauseNone
 }
 
-// Placing is what else is known when a flow is placed.
+// Placing describes the circumstances under which a flow was placed.
 type Placing struct {
-	Copy       int // of the first packet
-	Hedge      int // endpoints that were tried before
-	Candidates int
+	Copy       int // number of the copy of the first packet; zero is the original
+	Hedge      int // number of endpoints that were tried before
+	Candidates int // number of endpoints to choose from
 	Revision   carawaycart.StoreRevision
 }
 
-// target returns one of the targets of t, drawn by weight from those that have
-// endpoints, or nil.
+// target returns a random target of t by weight, among those that have endpoints,
+// or nil if none has. A single target is returned in any case.
 func (r *Router) target(t *route) *target {
 	if len(t.targets) == 1 {
 		return &t.targets[0]
@@ -283,8 +295,10 @@
 	return nil
 }
 
-func (r *Router) missed(e *endpoint, what string, sent, now time.Time) {
-	period, probe := e.record.miss(sent, now)
+// handleTimeout records at now that a packet sent to e at sent is unanswered, and
+// notifies the observer.
+func (r *Router) handleTimeout(e *endpoint, what string, sent, now time.Time) {
+	period, probe := e.state.recordTimeout(sent, now)
 	if period > 0 {
 		r.observer.Avoided(e.lifetime.ID, what, period)
 	}
@@ -293,106 +307,108 @@
 	}
 }
 
-// Probed takes in the outcome of a probe that began at began. It reports whether
-// the endpoint should be probed again, and whether it has just turned out silent.
+// Probed records the outcome of a probe that began at began. It reports whether the
+// endpoint is to be probed again and whether it became silent by this probe.
 func (r *Router) Probed(key carawaycart.LifetimeKey, alive bool, began, now time.Time) (again, silent bool) {
 	t := r.table.Load()
 	if t == nil || t.byKey[key] == nil || t.byKey[key].presence == directory.Ended {
 		return false, false
 	}
 	e := t.byKey[key]
-	changed := e.record.probed(alive, began, now)
+	changed := e.state.recordProbe(alive, began, now)
 	if changed {
 		r.observer.Silenced(e.lifetime.ID, !alive)
 	}
-	return e.record.doubted(), changed && !alive
+	return e.state.needsProbe(), changed && !alive
 }
 
-// Reachable reports whether an endpoint that may take new flows is not silent, or
-// there is none that may.
+// Reachable reports whether at least one endpoint that takes new flows is not silent.
+// It is true if no endpoint takes new flows, or without a table.
 func (r *Router) Reachable() bool {
 	t := r.table.Load()
 	if t == nil {
 		return true
 	}
-	some := false
+	found := false
 	for _, e := range t.byKey {
-		if !t.takesFlows(e) {
+		if !t.acceptsFlows(e) {
 			continue
 		}
-		if !e.record.isSilent() {
+		if !e.state.isSilent() {
 			return true
 		}
-		some = true
+		found = true
 	}
-	return !some
+	return !found
 }
 
-// Doubt has the endpoint with token t probed, which answers a peer nothing.
+// Doubt requests a probe of the endpoint with the given token, which a peer has found
+// silent. Endpoints that are unknown, ended or already silent are not probed.
 func (r *Router) Doubt(token carawaycart.Token) {
 	t := r.table.Load()
 	if t == nil {
 		return
 	}
-	if e := t.owners[token]; e != nil && e.presence != directory.Ended && !e.record.isSilent() {
+	if e := t.byToken[token]; e != nil && e.presence != directory.Ended && !e.state.isSilent() {
 		r.observer.Doubted(&e.lifetime)
 	}
 }
 
-// watch takes in what a later packet of a flow at e tells about e.
-func (r *Router) watch(id flowID, p *carawaycart.Packet, via *route, e *endpoint, now time.Time) {
-	s := r.flows.shard(id)
+// trackPacket updates the record of a flow at e, and the state of e, by a packet that
+// is not the first.
+func (r *Router) trackPacket(id flowID, p *carawaycart.Packet, via *route, e *endpoint, now time.Time) {
+	s := r.flows.lockShard(id)
 	defer s.mu.Unlock()
 	f := s.flows[id]
 	if f != nil && f.phase != phaseOpen && isTried(f.tried, e) {
-		// The answer of an endpoint that was tried before came first after all.
-		f.endpoint.record.adjust(-one(f.phase == phaseOpening), 0, 0)
-		f.phase, f.endpoint, f.sent = phaseSilent, e, f.opened
+		// An endpoint that was tried earlier answered first.
+		f.endpoint.state.adjustCounts(-boolToInt(f.phase == phaseOpening), 0, 0)
+		f.phase, f.endpoint, f.sentAt = phaseUnanswered, e, f.openedAt
 	}
-	if f == nil || f.endpoint.record != e.record {
+	if f == nil || f.endpoint.state != e.state {
 		if p.DataBytes == 0 || p.Kind == carawaycart.PacketLast {
 			return
 		}
 		if f != nil {
 			s.remove(id, f)
 		}
-		f = &flow{endpoint: e, opened: now, phase: phaseOpen, acked: p.Acknowledged, sequence: p.Sequence - 1}
+		f = &flow{endpoint: e, openedAt: now, phase: phaseOpen, acknowledged: p.Acknowledged, sequence: p.Sequence - 1}
 		if len(via.targets) == 1 {
 			f.objective = via.targets[0].objective
 		}
-		if !s.put(id, f, now) {
+		if !s.insert(id, f, now) {
 			return
 		}
-		e.record.adjust(0, 0, 1)
+		e.state.adjustCounts(0, 0, 1)
 	}
-	r.advance(id, f, p, now)
-	f.last = now
+	r.updateFlow(id, f, p, now)
+	f.lastSeen = now
 	if p.Kind == carawaycart.PacketLast {
 		s.remove(id, f)
 	}
 }
 
-// advance moves f on by packet p.
-func (r *Router) advance(id flowID, f *flow, p *carawaycart.Packet, now time.Time) {
+// updateFlow updates f and the state of its endpoint by packet p.
+func (r *Router) updateFlow(id flowID, f *flow, p *carawaycart.Packet, now time.Time) {
 	e := f.endpoint
 	if f.phase != phaseOpen {
-		e.record.adjust(-one(f.phase == phaseOpening), 0, 1)
+		e.state.adjustCounts(-boolToInt(f.phase == phaseOpening), 0, 1)
 		f.phase = phaseOpen
-		f.acked = p.Acknowledged
+		f.acknowledged = p.Acknowledged
 		r.mu.Lock()
-		r.patienceOf(e.lifetime.Zone).observe(now.Sub(f.sent))
+		r.estimatorFor(e.lifetime.Zone).observe(now.Sub(f.sentAt))
 		r.mu.Unlock()
-		r.heard(e, now)
+		r.handleAnswer(e, now)
 	}
-	if int32(p.Acknowledged-f.acked) > 0 {
-		f.acked = p.Acknowledged
-		r.heard(e, now)
+	if int32(p.Acknowledged-f.acknowledged) > 0 {
+		f.acknowledged = p.Acknowledged
+		r.handleAnswer(e, now)
 		if f.waiting {
-			e.record.adjust(0, -one(!f.overdue), one(f.overdue))
+			e.state.adjustCounts(0, -boolToInt(!f.overdue), boolToInt(f.overdue))
 			f.waiting, f.overdue = false, false
-			e.record.outcome(0, 1, now)
+			e.state.recordOutcomes(0, 1, now)
 			if o := f.objective; o != nil {
-				o.admission.Answered(o.priority, now.Sub(f.asked), o.answer, f.slow, now)
+				o.admission.RecordAnswer(o.priority, now.Sub(f.requestedAt), o.answerTarget, f.slow, now)
 			}
 		}
 	}
@@ -402,19 +418,20 @@
 	if int32(p.Sequence-f.sequence) > 0 {
 		f.sequence = p.Sequence
 		if !f.waiting {
-			f.waiting, f.slow, f.asked = true, false, now
-			r.await(id, f, now)
-			e.record.adjust(0, 1, 0)
+			f.waiting, f.slow, f.requestedAt = true, false, now
+			r.trackRequest(id, f, now)
+			e.state.adjustCounts(0, 1, 0)
 		}
 		return
 	}
-	if sent := f.last; now.Sub(sent) > resendPeriod {
-		r.missed(e, "data", sent, now)
+	if sentAt := f.lastSeen; now.Sub(sentAt) > minResendInterval {
+		r.handleTimeout(e, "data", sentAt, now)
 	}
 }
 
-func (r *Router) heard(e *endpoint, now time.Time) {
-	if e.record.answer(now) {
+// handleAnswer records an answer of e at now and notifies the observer if e recovered.
+func (r *Router) handleAnswer(e *endpoint, now time.Time) {
+	if e.state.recordAnswer(now) {
 		r.observer.Recovered(e.lifetime.ID)
 	}
 }
--- a/core/steer/router_test.go
+++ b/core/steer/router_test.go
@@ -10,7 +10,7 @@
 	"carawaycart/internal/routertest"
 )
 
-// tokenFleet is a fleet as routertest.Fleet.
+// tokenFleet adapts a fleet to routertest.Fleet.
 type tokenFleet struct{ *fleet }
 
 func (f tokenFleet) Instances() int { return len(f.routers) }
@@ -29,12 +29,12 @@
 
 func (f tokenFleet) Drain(e carawaycart.EndpointID, now time.Time) {
 	f.endpoint(e).Draining = true
-	f.learn(now)
+	f.update(now)
 }
 
 func (f tokenFleet) Restart(instance int, now time.Time) {
 	f.restart(instance)
-	f.learn(now)
+	f.update(now)
 }
 
 func TestConformance(t *testing.T) {
@@ -52,24 +52,24 @@
 		cause   carawaycart.Cause
 	}{
 		{"data of an open flow", func(*fleet, carawaycart.EndpointID) {}, dataOf(feed), carawaycart.VerdictForward, carawaycart.CauseNone},
-		{"token that nobody has", func(*fleet, carawaycart.EndpointID) {}, func(t carawaycart.Token) *carawaycart.Packet {
+		{"unknown token", func(*fleet, carawaycart.EndpointID) {}, func(t carawaycart.Token) *carawaycart.Packet {
 			return request(1, feed, t+1)
 		}, carawaycart.VerdictDrop, carawaycart.CauseUnknownToken},
 		{
-			"owner ended", func(f *fleet, e carawaycart.EndpointID) { f.remove(e) }, dataOf(feed),
+			"ended owner", func(f *fleet, e carawaycart.EndpointID) { f.remove(e) }, dataOf(feed),
 			carawaycart.VerdictReset, carawaycart.CauseEnded,
 		},
-		{"reset to an owner that ended", func(f *fleet, e carawaycart.EndpointID) { f.remove(e) }, func(t carawaycart.Token) *carawaycart.Packet {
+		{"reset to an ended owner", func(f *fleet, e carawaycart.EndpointID) { f.remove(e) }, func(t carawaycart.Token) *carawaycart.Packet {
 			p := acknowledgement(1, feed, t)
 			p.Kind, p.Reset = carawaycart.PacketLast, true
 			return p
 		}, carawaycart.VerdictDrop, carawaycart.CauseEnded},
-		{"entry missing after trouble of the store", func(f *fleet, e carawaycart.EndpointID) {
+		{"entry missing after a store failure", func(f *fleet, e carawaycart.EndpointID) {
 			f.roster.Trouble(start.Add(time.Second))
 			f.remove(e)
 		}, dataOf(feed), carawaycart.VerdictForward, carawaycart.CauseNone},
 		{
-			"owner drains", func(f *fleet, e carawaycart.EndpointID) { f.endpoint(e).Draining = true }, dataOf(feed),
+			"draining owner", func(f *fleet, e carawaycart.EndpointID) { f.endpoint(e).Draining = true }, dataOf(feed),
 			carawaycart.VerdictForward, carawaycart.CauseNone,
 		},
 		{
@@ -79,21 +79,21 @@
 			carawaycart.VerdictForward, carawaycart.CauseNone,
 		},
 		{
-			"route dropped", func(f *fleet, _ carawaycart.EndpointID) { f.contents.Config.Routes = f.contents.Config.Routes[1:] }, dataOf(feed),
+			"removed route", func(f *fleet, _ carawaycart.EndpointID) { f.contents.Config.Routes = f.contents.Config.Routes[1:] }, dataOf(feed),
 			carawaycart.VerdictReset, carawaycart.CauseNoRoute,
 		},
 		{
-			"same id started again", func(f *fleet, e carawaycart.EndpointID) { f.endpoint(e).Born++ }, dataOf(feed),
+			"restarted owner with the same ID", func(f *fleet, e carawaycart.EndpointID) { f.endpoint(e).Born++ }, dataOf(feed),
 			carawaycart.VerdictReset, carawaycart.CauseEnded,
 		},
-		{"no endpoint left", func(f *fleet, _ carawaycart.EndpointID) { f.contents.ZonesOut = f.zones }, func(carawaycart.Token) *carawaycart.Packet {
+		{"no endpoint that takes flows", func(f *fleet, _ carawaycart.EndpointID) { f.contents.ZonesOut = f.zones }, func(carawaycart.Token) *carawaycart.Packet {
 			return first(2, feed)
 		}, carawaycart.VerdictReset, carawaycart.CauseNoEndpoint},
 	} {
 		f := newFleet(2, 4)
 		owner := mustForward(t, f.routers[0].Decide(first(1, feed), start))
 		test.prepare(f, owner.Endpoint)
-		f.learn(start.Add(2 * time.Second))
+		f.update(start.Add(2 * time.Second))
 		d := f.routers[1].Decide(test.packet(owner.Token), start.Add(3*time.Second))
 		if d.Verdict != test.verdict || d.Cause != test.cause {
 			t.Errorf("%s: got verdict %d for %s, want %d for %s", test.name, d.Verdict, d.Cause, test.verdict, test.cause)
@@ -108,7 +108,7 @@
 	return func(t carawaycart.Token) *carawaycart.Packet { return request(1, service, t) }
 }
 
-func TestNothingIsDecidedWithoutAView(t *testing.T) {
+func TestDecideDropsWithoutTable(t *testing.T) {
 	f := newFleet(1, 1)
 	f.restart(0)
 	if d := f.routers[0].Decide(first(1, feed), start); d.Verdict != carawaycart.VerdictDrop || d.Cause != carawaycart.CauseNotReady {
@@ -126,8 +126,9 @@
 	}
 }
 
-// The network may double a first packet: both must go to one endpoint.
-func TestDuplicateOfFirstPacketKeepsItsEndpoint(t *testing.T) {
+// Guards against a flow that is split over two endpoints when the network duplicates
+// its first packet.
+func TestDuplicateFirstPacketKeepsEndpoint(t *testing.T) {
 	f := newFleet(1, 4)
 	want := f.routers[0].Decide(first(1, feed), start).Endpoint
 	if got := f.routers[0].Decide(first(1, feed), start.Add(5*time.Millisecond)).Endpoint; got != want {
@@ -135,28 +136,29 @@
 	}
 }
 
-func TestCopyOfFirstPacketGoesElsewhere(t *testing.T) {
+func TestResentFirstPacketGoesToAnotherEndpoint(t *testing.T) {
 	f := newFleet(1, 4)
 	silent := f.routers[0].Decide(first(1, feed), start).Endpoint
 	p := first(1, feed)
 	p.Copy = 1
 	if got := f.routers[0].Decide(p, start.Add(200*time.Millisecond)).Endpoint; got == silent {
-		t.Errorf("got %s again, which left the first one unanswered", got)
+		t.Errorf("got %s again, which left the original first packet unanswered", got)
 	}
 }
 
 func TestHedge(t *testing.T) {
 	f := newFleet(1, 4)
 	r, k := f.routers[0], key(1, feed)
-	one := mustForward(t, r.Decide(first(1, feed), start))
-	two, ok := r.Hedge(&k, start.Add(30*time.Millisecond))
-	if !ok || two.Endpoint == one.Endpoint {
-		t.Fatalf("got %s, %t, want another endpoint than %s", two.Endpoint, ok, one.Endpoint)
+	original := mustForward(t, r.Decide(first(1, feed), start))
+	hedge, ok := r.Hedge(&k, start.Add(30*time.Millisecond))
+	if !ok || hedge.Endpoint == original.Endpoint {
+		t.Fatalf("got %s, %t, want an endpoint other than %s", hedge.Endpoint, ok, original.Endpoint)
 	}
-	// The caller acknowledges whoever answered first, here the slower one.
-	d := r.Decide(acknowledgement(1, feed, one.Token), start.Add(35*time.Millisecond))
-	if mustForward(t, d); d.Endpoint != one.Endpoint {
-		t.Errorf("got %s, want %s, whose token the packet has", d.Endpoint, one.Endpoint)
+	// The caller acknowledges the endpoint that answered first, here the
+	// slower original one.
+	d := r.Decide(acknowledgement(1, feed, original.Token), start.Add(35*time.Millisecond))
+	if mustForward(t, d); d.Endpoint != original.Endpoint {
+		t.Errorf("got %s, want %s, the owner of the token of the packet", d.Endpoint, original.Endpoint)
 	}
 	if again, ok := r.Hedge(&k, start.Add(60*time.Millisecond)); ok {
 		t.Errorf("got an open flow hedged to %s", again.Endpoint)
@@ -174,41 +176,41 @@
 		}
 	}
 	if sent != 2 {
-		t.Errorf("got the first packet sent to %d endpoints, want 2, all there are", sent)
+		t.Errorf("got the first packet sent to %d endpoints, want 2, the number of endpoints", sent)
 	}
 }
 
-// silence makes an endpoint silent for router i: two flows unanswered, and a
-// probe that fails.
-func silence(t *testing.T, f *fleet, i int, e carawaycart.EndpointID, now time.Time) {
+// makeSilent makes an endpoint silent for router i by two unanswered flows and two
+// failed probes.
+func makeSilent(t *testing.T, f *fleet, i int, e carawaycart.EndpointID, now time.Time) {
 	t.Helper()
 	l := f.endpoint(e)
 	for _, n := range f.contents.Lifetimes {
 		n.Draining = n.ID != e
 	}
-	f.learn(now)
+	f.update(now)
 	for n := range 2 {
 		k := key(9000+n, feed)
 		mustForward(t, f.routers[i].Decide(first(9000+n, feed), now))
 		f.routers[i].Hedge(&k, now.Add(30*time.Millisecond))
 	}
-	if len(f.events[i].doubted) == 0 {
-		t.Fatal("got no probe asked for after two unanswered flows")
+	if len(f.events[i].probeRequests) == 0 {
+		t.Fatal("got no probe requested after two unanswered flows")
 	}
 	if again, silent := f.routers[i].Probed(l.Key(), false, now.Add(40*time.Millisecond), now.Add(190*time.Millisecond)); !again || silent {
 		t.Fatalf("got again %t, silent %t after one failed probe, want another probe", again, silent)
 	}
 	if _, silent := f.routers[i].Probed(l.Key(), false, now.Add(290*time.Millisecond), now.Add(440*time.Millisecond)); !silent {
-		t.Fatal("got an endpoint that is not silent after two failed probes")
+		t.Fatal("got the endpoint not silent after two failed probes")
 	}
 	for _, n := range f.contents.Lifetimes {
 		n.Draining = false
 	}
-	f.learn(now.Add(450 * time.Millisecond))
+	f.update(now.Add(450 * time.Millisecond))
 }
 
-// The load pattern of an overloaded host: slow to take new flows, and between two
-// probes it answers something. Its flows must not be reset.
+// Guards against resetting the flows of an overloaded endpoint, which is slow to accept
+// new flows and fails two probes but answers something between them.
 func TestSlowEndpointIsNotSilent(t *testing.T) {
 	f := newFleet(1, 1)
 	r := f.routers[0]
@@ -218,17 +220,17 @@
 	r.Probed(key, false, start.Add(100*time.Millisecond), start.Add(250*time.Millisecond))
 	r.Decide(answered(1, feed, d.Token), start.Add(300*time.Millisecond))
 	if _, silent := r.Probed(key, false, start.Add(350*time.Millisecond), start.Add(500*time.Millisecond)); silent {
-		t.Error("got an endpoint silent that answered between two probes")
+		t.Error("got the endpoint silent although it answered between two probes")
 	}
 	p := request(1, feed, d.Token)
 	p.Sequence, p.Acknowledged = 1201, 1500
 	if got := r.Decide(p, start.Add(600*time.Millisecond)); got.Verdict != carawaycart.VerdictForward {
-		t.Errorf("got verdict %d for %s, want the flow to go on", got.Verdict, got.Cause)
+		t.Errorf("got verdict %d for %s, want the flow to continue", got.Verdict, got.Cause)
 	}
 }
 
-// Only requests that may run more than once are reset on an open flow: a reset
-// promises nothing there.
+// Checks that open flows to a silent endpoint are reset only for requests that may run
+// more than once: a reset does not tell whether the request was run.
 func TestSilentEndpoint(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -243,7 +245,7 @@
 		f := newFleet(1, 4)
 		d := mustForward(t, f.routers[0].Decide(first(1, test.service), start))
 		f.routers[0].Decide(acknowledgement(1, test.service, d.Token), start.Add(8*time.Millisecond))
-		silence(t, f, 0, d.Endpoint, start.Add(time.Second))
+		makeSilent(t, f, 0, d.Endpoint, start.Add(time.Second))
 		now := start.Add(2 * time.Second)
 		if got := f.routers[0].Decide(test.packet(1, test.service, d.Token), now); got.Verdict != test.want {
 			t.Errorf("%s: got verdict %d, want %d", test.name, got.Verdict, test.want)
@@ -258,12 +260,13 @@
 	}
 }
 
-// The load pattern of a zone that is out and cut off from the others: nothing can
-// be served, so callers are told at once instead of waiting out their time.
-func TestNothingIsHeldWhenAllEndpointsAreSilent(t *testing.T) {
+// Guards against callers that wait until their timeouts when no endpoint can be
+// reached, as in a zone that is out and partitioned from the others. Their flows are
+// reset immediately.
+func TestNewFlowsAreResetWhenAllEndpointsAreSilent(t *testing.T) {
 	f := newFleet(1, 2)
 	for _, id := range []carawaycart.EndpointID{"i-01", "i-02"} {
-		silence(t, f, 0, id, start)
+		makeSilent(t, f, 0, id, start)
 	}
 	now := start.Add(time.Second)
 	if d := f.routers[0].Decide(first(1, order), now); d.Verdict != carawaycart.VerdictReset || d.Cause != carawaycart.CauseSilent {
@@ -275,8 +278,8 @@
 	}
 }
 
-// An endpoint that is full takes no new flow but answers those that it holds,
-// and its probe: it must not be taken for silent.
+// Guards against treating a full endpoint as silent: it accepts no new flows but still
+// answers those that it has, and its probe.
 func TestFullEndpointIsNotSilent(t *testing.T) {
 	f := newFleet(1, 1)
 	d := mustForward(t, f.routers[0].Decide(first(1, feed), start))
@@ -289,29 +292,29 @@
 	f.routers[0].Decide(answered(1, feed, d.Token), start.Add(100*time.Millisecond))
 	f.routers[0].Probed(f.endpoint(d.Endpoint).Key(), false, start.Add(70*time.Millisecond), start.Add(220*time.Millisecond))
 	if got := f.routers[0].Decide(request(1, feed, d.Token), start.Add(300*time.Millisecond)); got.Verdict != carawaycart.VerdictForward {
-		t.Errorf("got verdict %d for %s, want the flow to go on: an answer came after the probe began", got.Verdict, got.Cause)
+		t.Errorf("got verdict %d for %s, want the flow to continue: an answer arrived after the probe began", got.Verdict, got.Cause)
 	}
 }
 
-func TestAvoidedEndpointIsTriedAgain(t *testing.T) {
+func TestAvoidedEndpointIsRetried(t *testing.T) {
 	f := newFleet(1, 2)
 	r, k := f.routers[0], key(1, feed)
 	d := mustForward(t, r.Decide(first(1, feed), start))
 	r.Hedge(&k, start.Add(30*time.Millisecond))
-	seen := 0
+	returned := 0
 	for n := range 200 {
 		now := start.Add(40*time.Millisecond + time.Duration(n)*10*time.Millisecond)
 		got := mustForward(t, r.Decide(first(10+n, feed), now))
 		if got.Endpoint == d.Endpoint {
-			seen++
+			returned++
 			if now.Before(start.Add(500 * time.Millisecond)) {
 				t.Fatalf("got a flow at the avoided endpoint after %v", now.Sub(start))
 			}
 		}
 		r.Decide(acknowledgement(10+n, feed, got.Token), now.Add(8*time.Millisecond))
 	}
-	if seen == 0 {
-		t.Error("got no flow at the endpoint that left one first packet unanswered, want it taken back")
+	if returned == 0 {
+		t.Error("got no flow at the endpoint that left one first packet unanswered, want it used again")
 	}
 }
 
@@ -339,23 +342,23 @@
 	}
 }
 
-// The load pattern: a zone is cut off from the endpoints of all others while its
-// own are to get nothing.
+// Checks an instance in a zone that is partitioned from the endpoints of all other
+// zones while its own endpoints take no new flows.
 func TestReachable(t *testing.T) {
 	f := newFleet(1, 4) // i-01 and i-03 in zone a
 	r := f.routers[0]
-	silence := func(id carawaycart.EndpointID) {
+	failProbes := func(id carawaycart.EndpointID) {
 		for range 2 {
 			r.Probed(f.endpoint(id).Key(), false, start, start.Add(time.Second))
 		}
 	}
-	silence("i-02")
-	silence("i-04")
+	failProbes("i-02")
+	failProbes("i-04")
 	if !r.Reachable() {
 		t.Error("got no endpoint reachable while those of zone a are")
 	}
 	f.contents.ZonesOut = []carawaycart.ZoneID{"a"}
-	f.learn(start)
+	f.update(start)
 	if r.Reachable() {
 		t.Error("got an endpoint reachable, want none: zone a is out, the others are silent")
 	}
@@ -365,45 +368,45 @@
 	}
 }
 
-// The load pattern: half of the hosts go dark with requests under way. The others
-// have no more to do than before, so this is no overload.
-func TestDarkEndpointsAreNoOverload(t *testing.T) {
+// Guards against refusals when half of the endpoints become silent with requests
+// outstanding. The others have no more load than before, so there is no overload.
+func TestSilentEndpointsCauseNoOverload(t *testing.T) {
 	const (
 		flows  = 40
-		period = 250 * time.Millisecond // between the requests of a flow
+		period = 250 * time.Millisecond // time between the requests of a flow
 		tick   = 10 * time.Millisecond
 	)
 	f := newFleet(1, 4)
 	r := f.routers[0]
-	dark := func(e carawaycart.EndpointID) bool { return e == "i-01" || e == "i-03" }
-	type open struct {
-		packet    *carawaycart.Packet
-		endpoint  carawaycart.EndpointID
-		answer    time.Time // when the answer is acknowledged, or zero
-		lastAsked time.Time
-	}
-	var all []*open
+	silent := func(e carawaycart.EndpointID) bool { return e == "i-01" || e == "i-03" }
+	type openFlow struct {
+		packet   *carawaycart.Packet
+		endpoint carawaycart.EndpointID
+		answerAt time.Time // when the answer is acknowledged; zero if none is outstanding
+		lastSent time.Time
+	}
+	var all []*openFlow
 	for n := range flows {
 		d := mustForward(t, r.Decide(first(n, feed), start))
 		r.Decide(acknowledgement(n, feed, d.Token), start.Add(8*time.Millisecond))
 		p := request(n, feed, d.Token)
-		all = append(all, &open{packet: p, endpoint: d.Endpoint, lastAsked: start.Add(time.Duration(n) * period / flows)})
+		all = append(all, &openFlow{packet: p, endpoint: d.Endpoint, lastSent: start.Add(time.Duration(n) * period / flows)})
 	}
 	for at := tick; at < 4*time.Second; at += tick {
 		now := start.Add(at)
 		for _, o := range all {
-			if !o.answer.IsZero() && !now.Before(o.answer) {
-				o.answer = time.Time{}
+			if !o.answerAt.IsZero() && !now.Before(o.answerAt) {
+				o.answerAt = time.Time{}
 				o.packet.Acknowledged += 1000
 				a := *o.packet
 				a.Sequence, a.DataBytes = a.Sequence+200, 0
 				r.Decide(&a, now)
 			}
-			if now.Sub(o.lastAsked) >= period {
-				o.lastAsked = now
+			if now.Sub(o.lastSent) >= period {
+				o.lastSent = now
 				o.packet.Sequence += 200
-				if at < time.Second || !dark(o.endpoint) {
-					o.answer = now.Add(40 * time.Millisecond)
+				if at < time.Second || !silent(o.endpoint) {
+					o.answerAt = now.Add(40 * time.Millisecond)
 				}
 				r.Decide(o.packet, now)
 			}
--- a/core/steer/table.go
+++ b/core/steer/table.go
@@ -8,24 +8,24 @@
 	"carawaycart/internal/rendezvous"
 )
 
-// Table is an immutable snapshot of what packets are decided by.
+// Table is an immutable snapshot of the state on which decisions are based.
 type Table struct {
-	Version  uint64 // of the routing configuration
+	Version  uint64 // version of the routing configuration; zero without one
 	Revision carawaycart.StoreRevision
 
-	routes map[packedAddress]*route
-	owners map[carawaycart.Token]*endpoint
-	byKey  map[carawaycart.LifetimeKey]*endpoint
-	zones  map[carawaycart.ZoneID]bool // out
+	routes   map[packedAddress]*route
+	byToken  map[carawaycart.Token]*endpoint
+	byKey    map[carawaycart.LifetimeKey]*endpoint
+	zonesOut map[carawaycart.ZoneID]bool
 
 	policies   map[carawaycart.ServiceID]carawaycart.ServicePolicy
 	admissions map[carawaycart.ServiceID]*Admission // shared by all tables of a router
 }
 
-// route is where the new flows of an address go.
+// route holds the targets of the new flows of one address.
 type route struct {
 	targets    []target
-	repeatable bool // its requests may run more than once
+	repeatable bool // whether its requests may run more than once
 }
 
 type target struct {
@@ -35,38 +35,39 @@
 	objective *objective
 }
 
-// objective is how soon requests should be answered, and what admits them.
+// objective is the target answer time of requests and the admission control that
+// enforces it.
 type objective struct {
-	admission *Admission // of the service
-	priority  int        // zero is the most urgent
-	answer    time.Duration
+	admission    *Admission // shared by all routes to the service
+	priority     int        // zero is the most urgent
+	answerTarget time.Duration
 }
 
-// Limits bound what cold endpoints are given.
+// Limits bound the new flows that cold endpoints get from all instances.
 type Limits struct {
-	ColdOverrun float64 // multiple of what a cold endpoint says it bears
-	ColdSlack   float64 // requests a second on top
+	ColdOverrun float64 // multiple of the rate that a cold endpoint says it can bear
+	ColdSlack   float64 // additional requests per second
 }
 
-// Input is what a Table is built from.
+// Input is the data that a Table is built from.
 type Input struct {
 	Contents directory.Contents
 	Revision carawaycart.StoreRevision
 	Roster   *directory.Roster
 	Self     carawaycart.InstanceID
 	Limits   Limits
-	Profiles map[carawaycart.ServiceID]carawaycart.Profile // of the services that operators gave one
+	Profiles map[carawaycart.ServiceID]carawaycart.Profile // profiles by service, for services that have one
 }
 
-// NewTable returns the table for in at now. Endpoints that were in previous,
-// which may be nil, keep what was learnt about them.
+// NewTable returns the table for in at now. Endpoints that are also in previous, which
+// may be nil, keep their state.
 func NewTable(in *Input, previous *Table, now time.Time) *Table {
 	t := &Table{
 		Revision: in.Revision,
 		routes:   make(map[packedAddress]*route),
-		owners:   make(map[carawaycart.Token]*endpoint),
+		byToken:  make(map[carawaycart.Token]*endpoint),
 		byKey:    make(map[carawaycart.LifetimeKey]*endpoint),
-		zones:    make(map[carawaycart.ZoneID]bool),
+		zonesOut: make(map[carawaycart.ZoneID]bool),
 	}
 	if previous != nil {
 		t.admissions = previous.admissions
@@ -74,7 +75,7 @@
 		t.admissions = make(map[carawaycart.ServiceID]*Admission)
 	}
 	for _, z := range in.Contents.ZonesOut {
-		t.zones[z] = true
+		t.zonesOut[z] = true
 	}
 	t.addEndpoints(in, previous, now)
 	if in.Contents.Config != nil {
@@ -99,7 +100,7 @@
 		if previous != nil {
 			old = previous.byKey[key]
 		}
-		e := newEndpoint(s, old, t.returned(previous, s.Lifetime.Zone), now)
+		e := newEndpoint(s, old, t.zoneReturned(previous, s.Lifetime.Zone), now)
 		profile, ok := in.Profiles[s.Lifetime.Service]
 		if ok {
 			e.warmUntil = e.coldUntil.Add(profile.WarmupSeconds.Duration())
@@ -110,40 +111,40 @@
 		t.byKey[key] = e
 		keys = append(keys, key)
 	})
-	tokens, owners := assignTokens(keys, derive)
-	for token, key := range owners {
-		t.owners[token] = t.byKey[key]
+	tokens, byToken := assignTokens(keys, derive)
+	for token, key := range byToken {
+		t.byToken[token] = t.byKey[key]
 	}
 	for key, token := range tokens {
 		t.byKey[key].token = token
 	}
 }
 
-// returned reports whether zone was out in previous and is not now.
-func (t *Table) returned(previous *Table, zone carawaycart.ZoneID) bool {
-	return previous != nil && previous.zones[zone] && !t.zones[zone]
+// zoneReturned reports whether zone is out in previous but not in t.
+func (t *Table) zoneReturned(previous *Table, zone carawaycart.ZoneID) bool {
+	return previous != nil && previous.zonesOut[zone] && !t.zonesOut[zone]
 }
 
-// coldShare returns the share that the instance has of a cold endpoint. A profile
-// without a name limits nothing.
+// coldShare returns the instance's share of the new flows of a cold endpoint. A
+// profile without a name sets no limit.
 func coldShare(in *Input, policy carawaycart.ServicePolicy, profile carawaycart.Profile, key carawaycart.LifetimeKey) ColdShare {
 	bound := policy.ColdPerSecond*in.Limits.ColdOverrun + in.Limits.ColdSlack
-	place := rendezvous.NewKey(string(key.ID))
-	own := rendezvous.Score(rendezvous.NewName(string(in.Self)), place)
+	endpointKey := rendezvous.NewKey(string(key.ID))
+	ownScore := rendezvous.Score(rendezvous.NewName(string(in.Self)), endpointKey)
 	rank, members := 0, 1
 	for _, i := range in.Contents.Instances {
 		if i.ID == in.Self {
 			continue
 		}
 		members++
-		if rendezvous.Score(rendezvous.NewName(string(i.ID)), place) > own {
+		if rendezvous.Score(rendezvous.NewName(string(i.ID)), endpointKey) > ownScore {
 			rank++
 		}
 	}
 	share := NewColdShare(bound, members, rank)
 	if profile.Name != "" {
 		share.Limited = true
-		share.Sum = part(profile.ColdFlows, members, rank)
+		share.MaxFlows = memberShare(profile.ColdFlows, members, rank)
 	}
 	return share
 }
@@ -151,7 +152,7 @@
 func (t *Table) addRoutes(c *carawaycart.RouteConfig) {
 	services := make(map[carawaycart.ServiceID][]*endpoint)
 	for _, e := range t.byKey {
-		if t.takesFlows(e) {
+		if t.acceptsFlows(e) {
 			services[e.lifetime.Service] = append(services[e.lifetime.Service], e)
 		}
 	}
@@ -164,27 +165,27 @@
 			}
 			r.targets = append(r.targets, target{
 				service: to.Service, endpoints: services[to.Service], weight: to.Weight,
-				objective: &objective{admission: t.admissions[to.Service], priority: from.Priority, answer: from.Target},
+				objective: &objective{admission: t.admissions[to.Service], priority: from.Priority, answerTarget: from.Target},
 			})
 		}
 		t.routes[pack(from.Address)] = r
 	}
 }
 
-// takesFlows reports whether e may take new flows.
-func (t *Table) takesFlows(e *endpoint) bool {
-	return e.presence != directory.Ended && !e.lifetime.Draining && !t.zones[e.lifetime.Zone]
+// acceptsFlows reports whether e may take new flows.
+func (t *Table) acceptsFlows(e *endpoint) bool {
+	return e.presence != directory.Ended && !e.lifetime.Draining && !t.zonesOut[e.lifetime.Zone]
 }
 
-// Complete reports whether packets can be decided by t.
+// Complete reports whether t has a routing configuration. It is false if t is nil.
 func (t *Table) Complete() bool { return t != nil && t.Version != 0 }
 
-// HealthPath returns where endpoints of service answer whether they are well.
+// HealthPath returns the path of the health check of the endpoints of service.
 func (t *Table) HealthPath(service carawaycart.ServiceID) string {
 	return t.policies[service].HealthPath
 }
 
-// Token returns the token of the lifetime, or zero if it is unknown.
+// Token returns the token of the lifetime, or zero if the lifetime is unknown.
 func (t *Table) Token(key carawaycart.LifetimeKey) carawaycart.Token {
 	if e := t.byKey[key]; e != nil {
 		return e.token
--- a/core/steer/token.go
+++ b/core/steer/token.go
@@ -10,11 +10,11 @@
 	"carawaycart"
 )
 
-// maxDerivations bounds the tokens that one lifetime can have; at 21,000
-// lifetimes a third one is needed once in about 10^10 days.
+// maxDerivations bounds the tokens that are derived for one lifetime. At 21,000
+// lifetimes a third token is needed about once in 10^10 days.
 const maxDerivations = 4
 
-// derive returns the n-th token of a lifetime, which is never zero.
+// derive returns the n-th token of a lifetime, counted from zero. It is never zero.
 func derive(key carawaycart.LifetimeKey, n int) carawaycart.Token {
 	var b [9]byte
 	binary.BigEndian.PutUint64(b[:8], uint64(key.Born))
@@ -32,10 +32,10 @@
 
 // assignTokens returns the token of each lifetime and the owner of each token.
 //
-// Where two lifetimes derive the same token, it belongs to the older one, and
-// the younger one uses its next. A younger lifetime also owns the tokens before
-// that one which nobody older has, since an instance that did not know the
-// older one may have given them out.
+// If two lifetimes derive the same token, it belongs to the older one, and the
+// younger one uses the next token that it derives. A younger lifetime also owns its
+// skipped tokens that no older lifetime has, since an instance that did not know
+// the older one may have assigned them.
 func assignTokens(keys []carawaycart.LifetimeKey, deriveToken func(carawaycart.LifetimeKey, int) carawaycart.Token,
 ) (tokens map[carawaycart.LifetimeKey]carawaycart.Token, owners map[carawaycart.Token]carawaycart.LifetimeKey) {
 	sorted := slices.Clone(keys)
--- a/core/steer/token_test.go
+++ b/core/steer/token_test.go
@@ -17,10 +17,10 @@
 	return keys
 }
 
-// deriveNarrow derives tokens from so small a range that many collide.
+// deriveNarrow derives tokens from a range so small that many collide.
 func deriveNarrow(key carawaycart.LifetimeKey, n int) carawaycart.Token { return derive(key, n)%97 + 1 }
 
-func TestTokensAgreeWhateverTheOrder(t *testing.T) {
+func TestTokensAreIndependentOfOrder(t *testing.T) {
 	keys := lifetimeKeys(30)
 	want, wantOwners := assignTokens(keys, deriveNarrow)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -28,7 +28,7 @@
 		random.Shuffle(len(keys), func(i, j int) { keys[i], keys[j] = keys[j], keys[i] })
 		got, owners := assignTokens(keys, deriveNarrow)
 		if !maps.Equal(got, want) || !maps.Equal(owners, wantOwners) {
-			t.Fatal("got other tokens for the same lifetimes in another order")
+			t.Fatal("got different tokens for the same lifetimes in another order")
 		}
 	}
 }
@@ -45,31 +45,32 @@
 		}
 	}
 	if len(tokens) != 30 || collided == 0 {
-		t.Errorf("got %d tokens, %d of them by a later derivation, want 30 and some", len(tokens), collided)
+		t.Errorf("got %d tokens, %d of them by a later derivation, want 30 and at least one", len(tokens), collided)
 	}
 }
 
-// A younger lifetime must not take the token of an older one, whose flows go on.
+// Guards against a younger lifetime that takes over the token of an older one, whose
+// flows are still open.
 func TestOlderLifetimeKeepsItsToken(t *testing.T) {
 	keys := lifetimeKeys(40)
 	before, _ := assignTokens(keys[:20], deriveNarrow)
 	after, _ := assignTokens(keys, deriveNarrow)
 	for key, token := range before {
 		if after[key] != token {
-			t.Errorf("%v: got token %d after younger ones came, want %d", key, after[key], token)
+			t.Errorf("%v: got token %d after younger lifetimes were added, want %d", key, after[key], token)
 		}
 	}
 }
 
-func TestTokenTellsLifetimesApart(t *testing.T) {
+func TestTokenDistinguishesLifetimes(t *testing.T) {
 	a := derive(carawaycart.LifetimeKey{ID: "i-1", Born: 1}, 0)
 	b := derive(carawaycart.LifetimeKey{ID: "i-1", Born: 2}, 0)
 	if a == b || a == 0 || b == 0 {
-		t.Errorf("got tokens %d and %d for two lifetimes of one id, want two that are not zero", a, b)
+		t.Errorf("got tokens %d and %d for two lifetimes of one ID, want different non-zero ones", a, b)
 	}
 }
 
-func TestTokensAtTheTargetsSize(t *testing.T) {
+func TestTokensAtTargetScale(t *testing.T) {
 	tokens, owners := assignTokens(lifetimeKeys(21000), derive)
 	if len(tokens) != 21000 || len(owners) != 21000 {
 		t.Errorf("got %d tokens and %d owners, want 21000", len(tokens), len(owners))
