--- a/internal/eventlog/doc.go
+++ b/internal/eventlog/doc.go
@@ -1,7 +1,8 @@
-// Package eventlog writes one structured line for each decision and each change
-// of belief, without ever making its caller wait.
+// Package eventlog writes a structured log with one line per event, such as a
+// forwarding decision or a change in the assumed state of an endpoint. Logging
+// never waits for the writer.
 //
 // Lines go into a bounded buffer that one goroutine writes out. Each kind of
-// event has an allowance a second; what exceeds it, or does not fit into the
-// buffer, is left out and counted in the next line of the same kind.
+// event has a quota of lines per second. Lines that exceed the quota or do not
+// fit into the buffer are omitted and counted in the next line of the same kind.
 package eventlog
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	bufferBytes     = 32 << 10
-	linesPerSecond  = 40
-	flushPeriod     = 250 * time.Millisecond
-	timestampFormat = "2006-01-02T15:04:05.000Z"
+	maxBufferBytes    = 32 << 10
+	maxLinesPerSecond = 40
+	flushPeriod       = 250 * time.Millisecond
+	timestampFormat   = "2006-01-02T15:04:05.000Z"
 )
 
-// Log takes lines; it is safe for concurrent use. A nil Log takes nothing.
+// Log buffers lines and writes them in the background. It is safe for concurrent
+// use. A nil Log discards all events.
 type Log struct {
 	instance carawaycart.InstanceID
 	out      io.Writer
@@ -25,23 +26,23 @@
 	stop     chan struct{}
 	done     sync.WaitGroup
 
-	mu    sync.Mutex
-	buf   []byte
-	spare []byte
-	kinds map[string]*allowance
+	mu     sync.Mutex
+	buf    []byte
+	spare  []byte
+	quotas map[string]*quota
 }
 
-// allowance bounds the lines of one kind of event.
-type allowance struct {
-	second  int64 // Unix time
-	lines   int   // in second
-	omitted int   // since the last line
+// quota limits the lines per second of one kind of event.
+type quota struct {
+	second  int64 // Unix time of the current second
+	lines   int   // lines written in second
+	omitted int   // lines omitted since the last one written
 }
 
-// New returns a log of instance that writes to out until Close.
+// New returns a log that writes events of instance to out until Close is called.
 func New(instance carawaycart.InstanceID, out io.Writer) *Log {
 	l := &Log{
-		instance: instance, out: out, kinds: make(map[string]*allowance),
+		instance: instance, out: out, quotas: make(map[string]*quota),
 		wake: make(chan struct{}, 1), stop: make(chan struct{}),
 	}
 	l.done.Go(func() {
@@ -62,7 +63,7 @@
 	return l
 }
 
-// Close writes out what is left.
+// Close writes the buffered lines and stops the log.
 func (l *Log) Close() {
 	if l == nil {
 		return
@@ -71,8 +72,8 @@
 	l.done.Wait()
 }
 
-// flush writes the buffer; what the writer does not take is lost, since there
-// is nowhere to say so.
+// flush writes the buffer to the writer. Lines that the writer rejects are lost,
+// since there is no other place to report the error.
 func (l *Log) flush() {
 	l.mu.Lock()
 	b := l.buf
@@ -86,47 +87,47 @@
 	l.mu.Unlock()
 }
 
-// Line is one line that is being made. A nil Line takes nothing.
+// Line is a log line under construction. A nil Line discards all fields.
 type Line struct {
 	log *Log
 }
 
-// Event begins a line of the given kind; End must follow, and until then the
-// log is locked. It returns nil if the line is left out.
+// Event begins a line for an event of the given kind. It locks the log until End
+// is called on the line. It returns nil if the line is omitted.
 func (l *Log) Event(kind string) *Line {
 	if l == nil {
 		return nil
 	}
 	now := time.Now().UTC()
 	l.mu.Lock()
-	a := l.kinds[kind]
-	if a == nil {
-		a = &allowance{}
-		l.kinds[kind] = a
+	q := l.quotas[kind]
+	if q == nil {
+		q = &quota{}
+		l.quotas[kind] = q
 	}
-	if s := now.Unix(); s != a.second {
-		a.second, a.lines = s, 0
+	if unix := now.Unix(); unix != q.second {
+		q.second, q.lines = unix, 0
 	}
-	if a.lines >= linesPerSecond || len(l.buf) >= bufferBytes {
-		a.omitted++
+	if q.lines >= maxLinesPerSecond || len(l.buf) >= maxBufferBytes {
+		q.omitted++
 		l.mu.Unlock()
 		return nil
 	}
-	a.lines++
+	q.lines++
 	line := &Line{log: l}
 	l.buf = append(l.buf, "time="...)
 	l.buf = now.AppendFormat(l.buf, timestampFormat)
 	l.buf = append(l.buf, " event="...)
 	l.buf = append(l.buf, kind...)
 	line.Text("instance", string(l.instance))
-	if a.omitted > 0 {
-		line.Int("omitted", int64(a.omitted))
-		a.omitted = 0
+	if q.omitted > 0 {
+		line.Int("omitted", int64(q.omitted))
+		q.omitted = 0
 	}
 	return line
 }
 
-// End completes the line.
+// End completes the line and unlocks the log.
 func (e *Line) End() {
 	if e == nil {
 		return
@@ -145,7 +146,8 @@
 	e.log.buf = append(e.log.buf, '=')
 }
 
-// Text adds a text, quoted where it needs to be.
+// Text adds a string field. The value is quoted if it contains spaces, control
+// characters, quotes, equal signs or bytes outside ASCII.
 func (e *Line) Text(name, value string) *Line {
 	if e == nil {
 		return nil
@@ -161,7 +163,7 @@
 	return e
 }
 
-// Int adds a number.
+// Int adds an integer field.
 func (e *Line) Int(name string, value int64) *Line {
 	if e == nil {
 		return nil
@@ -171,29 +173,29 @@
 	return e
 }
 
-// Bool adds a truth value.
+// Bool adds a Boolean field.
 func (e *Line) Bool(name string, value bool) *Line {
 	return e.Text(name, strconv.FormatBool(value))
 }
 
-// Millis adds a span of time in milliseconds.
+// Millis adds a duration in milliseconds, rounded down.
 func (e *Line) Millis(name string, d time.Duration) *Line { return e.Int(name, d.Milliseconds()) }
 
-// Flow adds the caller and the service address of a flow.
+// Flow adds the caller's address as flow and the service's address as service.
 func (e *Line) Flow(k *carawaycart.FlowKey) *Line {
 	if e == nil {
 		return nil
 	}
-	return e.address("flow", k.Caller).address("service", k.Service)
+	return e.addrPort("flow", k.Caller).addrPort("service", k.Service)
 }
 
-func (e *Line) address(name string, a netip.AddrPort) *Line {
+func (e *Line) addrPort(name string, a netip.AddrPort) *Line {
 	e.key(name)
 	e.log.buf = a.AppendTo(e.log.buf)
 	return e
 }
 
-// Err adds the text of an error, if there is one.
+// Err adds the text of err as error. It adds nothing if err is nil.
 func (e *Line) Err(err error) *Line {
 	if e == nil || err == nil {
 		return e
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -10,7 +10,7 @@
 	"carawaycart/internal/eventlog"
 )
 
-func TestLine(t *testing.T) {
+func TestLineFormat(t *testing.T) {
 	var out bytes.Buffer
 	l := eventlog.New("a", &out)
 	key := carawaycart.FlowKey{Caller: netip.MustParseAddrPort("100.64.0.1:10"), Service: netip.MustParseAddrPort("198.18.0.1:443")}
@@ -23,30 +23,30 @@
 	}
 }
 
-// stuck is a writer that never returns until it is freed.
-type stuck struct {
-	free  chan struct{}
-	bytes int
+// blockedWriter is a writer whose Write blocks until release is closed.
+type blockedWriter struct {
+	release chan struct{}
+	bytes   int
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.free
-	s.bytes += len(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.release
+	w.bytes += len(b)
 	return len(b), nil
 }
 
-// A reader of the log that stands still must not hold up a decision, nor let the
-// memory grow; what is left out is counted.
-func TestStuckWriterHoldsUpNobody(t *testing.T) {
-	w := &stuck{free: make(chan struct{})}
+// A log consumer that stops reading must neither delay decisions nor let the
+// buffer grow without bound. Guards against events that wait for the writer.
+func TestBlockedWriterDoesNotDelayCallers(t *testing.T) {
+	w := &blockedWriter{release: make(chan struct{})}
 	l := eventlog.New("a", w)
 	for range 100000 {
 		l.Event("placed").Int("n", 1).End()
 	}
-	close(w.free)
+	close(w.release)
 	l.Close()
 	if bound := 1 << 20; w.bytes > bound {
-		t.Errorf("got %d bytes held for a writer that stood still, want at most %d", w.bytes, bound)
+		t.Errorf("got %d bytes buffered for a blocked writer, want at most %d", w.bytes, bound)
 	}
 }
 
@@ -62,11 +62,11 @@
 		t.Errorf("got %d of 5000 lines, want some and not all", n)
 	}
 	if !strings.Contains(out.String(), "event=started") {
-		t.Error("got the line of another kind left out")
+		t.Error("got no line of another kind, want its quota unaffected")
 	}
 }
 
-func TestNilLogTakesNothing(*testing.T) {
+func TestNilLogDiscardsEvents(*testing.T) {
 	var l *eventlog.Log
 	l.Event("placed").Int("n", 1).Text("a", "b").End()
 	l.Close()
