--- a/internal/edge/counters.go
+++ b/internal/edge/counters.go
@@ -9,51 +9,57 @@
 )
 
 const (
-	latencySamples = 512   // held of the decision latency
-	latencyAlpha   = 0.015 // the usual bias to the last five minutes of an exponentially decaying sample
-	latencyEvery   = 8     // packets for one sample
+	latencyReservoirSize = 512 // samples of the decision latency that are retained
+
+	// latencyAlpha is the usual decay of an exponentially decaying reservoir,
+	// which biases it to the last five minutes.
+	latencyAlpha = 0.015
+
+	latencySamplingInterval = 8 // packets per latency sample
 )
 
-// Counters are the metrics of an instance; they are safe for concurrent use.
+// Counters holds the metrics of an instance. Its methods are safe for concurrent
+// use, except Decided, which one thread must call.
 type Counters struct {
-	Registry metrics.Registry
-
-	Forwarded metrics.Counter
-	Placed    metrics.Counter
-	Hedged    metrics.Counter
-	Avoided   metrics.Counter
-	Silenced  metrics.Counter
-	Probes    metrics.Counter
-	NewsBytes metrics.Counter
-	Latency   metrics.Histogram
-
-	dropped    [carawaycart.CauseCount]metrics.Counter
-	reset      [carawaycart.CauseCount]metrics.Counter
+	Registry metrics.Registry // holds all metrics below
+
+	Forwarded   metrics.Counter
+	Placed      metrics.Counter   // first packets sent to an endpoint, including resent ones
+	Hedged      metrics.Counter   // first packets resent to another endpoint
+	Avoided     metrics.Counter   // times an endpoint became avoided
+	Silenced    metrics.Counter   // times an endpoint became silent
+	Probes      metrics.Counter   // probes sent
+	UpdateBytes metrics.Counter   // bytes sent to peers over connections
+	Latency     metrics.Histogram // decision latency in nanoseconds
+
+	dropped    [carawaycart.CauseCount]metrics.Counter // packets dropped
+	reset      [carawaycart.CauseCount]metrics.Counter // packets answered with a reset
 	faults     [carawaycart.FaultCount]metrics.Counter
-	storeCalls map[[2]string]metrics.Counter
-	packets    uint32 // decided; written by one thread
+	storeCalls map[[2]string]metrics.Counter // by call and outcome
+	decisions  uint32                        // packets decided; written by one thread
 }
 
-// storeCallNames and storeOutcomes are what platform.Store reports.
+// storeCallKinds and storeOutcomes are the kinds and outcomes of calls that
+// platform.Store reports.
 var (
-	storeCallNames = []string{"range", "lease", "keep", "txn"}
+	storeCallKinds = []string{"range", "lease", "keep", "txn"}
 	storeOutcomes  = []string{"done", "failed"}
 )
 
-// NewCounters returns counters at zero in a registry of their own.
+// NewCounters returns counters with value zero in a new registry.
 func NewCounters() *Counters {
 	r := metrics.NewRegistry()
 	c := &Counters{
-		Registry:   r,
-		Forwarded:  metrics.NewRegisteredCounter("packetsForwarded", r),
-		Placed:     metrics.NewRegisteredCounter("flowsPlaced", r),
-		Avoided:    metrics.NewRegisteredCounter("endpointsAvoided", r),
-		Hedged:     metrics.NewRegisteredCounter("firstPacketsHedged", r),
-		Silenced:   metrics.NewRegisteredCounter("endpointsSilent", r),
-		Probes:     metrics.NewRegisteredCounter("probes", r),
-		NewsBytes:  metrics.NewRegisteredCounter("peerBytes.news", r),
-		Latency:    metrics.NewRegisteredHistogram("decisionNanos", r, metrics.NewExpDecaySample(latencySamples, latencyAlpha)),
-		storeCalls: make(map[[2]string]metrics.Counter),
+		Registry:    r,
+		Forwarded:   metrics.NewRegisteredCounter("packetsForwarded", r),
+		Placed:      metrics.NewRegisteredCounter("flowsPlaced", r),
+		Avoided:     metrics.NewRegisteredCounter("endpointsAvoided", r),
+		Hedged:      metrics.NewRegisteredCounter("firstPacketsHedged", r),
+		Silenced:    metrics.NewRegisteredCounter("endpointsSilent", r),
+		Probes:      metrics.NewRegisteredCounter("probes", r),
+		UpdateBytes: metrics.NewRegisteredCounter("peerBytes.news", r),
+		Latency:     metrics.NewRegisteredHistogram("decisionNanos", r, metrics.NewExpDecaySample(latencyReservoirSize, latencyAlpha)),
+		storeCalls:  make(map[[2]string]metrics.Counter),
 	}
 	for i := range c.dropped {
 		c.dropped[i] = metrics.NewRegisteredCounter("packetsDropped."+carawaycart.Cause(i).String(), r)
@@ -62,7 +68,7 @@
 	for i := range c.faults {
 		c.faults[i] = metrics.NewRegisteredCounter("datagramFaults."+carawaycart.Fault(i).String(), r)
 	}
-	for _, call := range storeCallNames {
+	for _, call := range storeCallKinds {
 		for _, outcome := range storeOutcomes {
 			c.storeCalls[[2]string{call, outcome}] = metrics.NewRegisteredCounter("storeCalls."+call+"."+outcome, r)
 		}
@@ -70,8 +76,9 @@
 	return c
 }
 
-// ShowView makes the revision and the age of the view metrics.
-func (c *Counters) ShowView(revision, ageMillis func() int64) {
+// RegisterViewGauges registers gauges for the revision and the age of the view.
+// The functions are called when the metrics are read.
+func (c *Counters) RegisterViewGauges(revision, ageMillis func() int64) {
 	metrics.NewRegisteredFunctionalGauge("storeRevision", c.Registry, revision)
 	metrics.NewRegisteredFunctionalGauge("viewAgeMillis", c.Registry, ageMillis)
 }
@@ -79,17 +86,18 @@
 // Fault counts a datagram that could not be decoded.
 func (c *Counters) Fault(f carawaycart.Fault) { c.faults[f].Inc(1) }
 
-// StoreCall counts a call of the store.
+// StoreCall counts a call to the store. It ignores unknown calls and outcomes.
 func (c *Counters) StoreCall(call, outcome string) {
 	if m := c.storeCalls[[2]string{call, outcome}]; m != nil {
 		m.Inc(1)
 	}
 }
 
-// Sent counts bytes sent to a peer. It implements peer.Meter.
-func (c *Counters) Sent(_ string, bytes int) { c.NewsBytes.Inc(int64(bytes)) }
+// Sent counts bytes sent to a peer, for all methods together. It implements
+// peer.Meter.
+func (c *Counters) Sent(_ string, bytes int) { c.UpdateBytes.Inc(int64(bytes)) }
 
-// Decided counts a decision that took the given time.
+// Decided counts a decision and samples the time it took.
 func (c *Counters) Decided(d *carawaycart.Decision, took time.Duration) {
 	switch d.Verdict {
 	case carawaycart.VerdictForward:
@@ -99,7 +107,7 @@
 	default:
 		c.dropped[d.Cause].Inc(1)
 	}
-	if c.packets++; c.packets%latencyEvery == 0 {
+	if c.decisions++; c.decisions%latencySamplingInterval == 0 {
 		c.Latency.Update(took.Nanoseconds())
 	}
 }
--- /dev/null
+++ b/internal/edge/disseminator.go
@@ -0,0 +1,347 @@
+package edge
+
+import (
+	"cmp"
+	"context"
+	"net"
+	"net/netip"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/juju/errors"
+	"google.golang.org/protobuf/proto"
+
+	"carawaycart"
+	"carawaycart/core/directory"
+	"carawaycart/core/steer"
+	"carawaycart/internal/eventlog"
+	"carawaycart/internal/rendezvous"
+	"carawaycart/io/peer"
+	"carawaycart/message"
+)
+
+const (
+	maxUpdateBytes = 1200 // size of a datagram that no link fragments
+	relaysPerZone  = 2    // instances of each other zone that receive an update and relay it
+	fetchTimeout   = 1500 * time.Millisecond
+
+	// minRelayAdvance is how much later than the last known read of the store an
+	// update without changes must have been read to be relayed.
+	minRelayAdvance = 150 * time.Millisecond
+)
+
+// Disseminator sends updates of the store's contents to peers and applies the
+// updates that peers send. It implements peer.DirectoryHandler.
+type Disseminator struct {
+	ctx       context.Context // canceled by Close
+	cancel    context.CancelFunc
+	self      carawaycart.InstanceID
+	zone      carawaycart.ZoneID
+	view      *View
+	conn      *net.UDPConn
+	client    *peer.Client
+	clock     carawaycart.Clock
+	log       *eventlog.Log
+	router    *steer.Router
+	registrar *Registrar
+	snapshots snapshotCache
+	done      sync.WaitGroup
+
+	mu       sync.Mutex
+	fetching bool // a snapshot is being fetched by startFetch
+}
+
+// NewDisseminator returns a disseminator that receives updates on conn until Close
+// is called.
+func NewDisseminator(self carawaycart.InstanceID, zone carawaycart.ZoneID, v *View, r *steer.Router, conn *net.UDPConn, p *peer.Client,
+	g *Registrar, k carawaycart.Clock, log *eventlog.Log,
+) *Disseminator {
+	ctx, cancel := context.WithCancel(context.Background())
+	d := &Disseminator{ctx: ctx, cancel: cancel, self: self, zone: zone, view: v, conn: conn, client: p, router: r, registrar: g, clock: k, log: log}
+	d.done.Go(func() {
+		buf := make([]byte, 64<<10)
+		for {
+			n, from, err := conn.ReadFromUDPAddrPort(buf)
+			if err != nil {
+				if isClosed(err) {
+					return
+				}
+				continue // the error may be an ICMP error caused by an earlier send
+			}
+			d.receive(buf[:n], from)
+		}
+	})
+	return d
+}
+
+// Close closes the connection and waits for pending requests to end.
+func (d *Disseminator) Close() {
+	d.cancel()
+	_ = d.conn.Close()
+	d.done.Wait()
+}
+
+// Broadcast sends delta, the result of a read of the store that began at began, to
+// the peers of the zone and to relays in other zones.
+func (d *Disseminator) Broadcast(delta directory.Difference, began time.Time) {
+	state := d.view.State()
+	update := d.update(&delta, began, state.StoreFailure)
+	update.Relay = true
+	d.send(update, d.relayPeers(state.Instances))
+	update.Relay = false
+	d.send(update, d.zonePeers(state.Instances))
+}
+
+// update returns the message for a delta read at began, where failure is the time of
+// the last store failure. The message is partial, without items, if it would exceed
+// maxUpdateBytes.
+func (d *Disseminator) update(delta *directory.Difference, began, failure time.Time) *message.DirectoryNews {
+	now := d.clock.Now()
+	update := &message.DirectoryNews{
+		From: string(d.self), FromRevision: uint64(delta.From), ToRevision: uint64(delta.To),
+		AgeMs: uint32(max(now.Sub(began), 0).Milliseconds()),
+		Items: message.FromItems(delta.Items), Missing: delta.Missing,
+	}
+	if !failure.IsZero() {
+		update.TroubleMs = uint32(max(now.Sub(failure), 0).Milliseconds()) + 1
+	}
+	if proto.Size(update) > maxUpdateBytes {
+		update.Items, update.Missing, update.Partial = nil, nil, true
+	}
+	return update
+}
+
+func (d *Disseminator) send(update *message.DirectoryNews, to []carawaycart.Registration) {
+	if len(to) == 0 {
+		return
+	}
+	data, err := proto.Marshal(update)
+	if err != nil {
+		d.log.Event("newsFailed").Err(err).End()
+		return
+	}
+	for _, r := range to {
+		if _, err := d.conn.WriteToUDPAddrPort(data, r.PeerAddress); err != nil {
+			d.log.Event("newsFailed").Text("peer", string(r.ID)).Err(err).End()
+		}
+	}
+}
+
+// BroadcastSilent notifies the peers of the zone that the endpoint with token t is
+// silent, so that they probe it too.
+func (d *Disseminator) BroadcastSilent(t carawaycart.Token) {
+	d.send(&message.DirectoryNews{From: string(d.self), SilentTokens: []uint32{uint32(t)}}, d.zonePeers(d.view.State().Instances))
+}
+
+// BroadcastOutcomes sends the outcomes of requests to endpoints to the peers of the
+// zone.
+func (d *Disseminator) BroadcastOutcomes(outcomes []steer.Outcomes) {
+	update := &message.DirectoryNews{From: string(d.self)}
+	for _, o := range outcomes {
+		update.Outcomes = append(update.Outcomes, &message.EndpointOutcomes{
+			Token: uint32(o.Token), Failed: uint32(o.Failed), Answered: uint32(o.Answered),
+		})
+	}
+	d.send(update, d.zonePeers(d.view.State().Instances))
+}
+
+// zonePeers returns the other instances of the zone.
+func (d *Disseminator) zonePeers(all []carawaycart.Registration) []carawaycart.Registration {
+	var peers []carawaycart.Registration
+	for _, r := range all {
+		if r.Zone == d.zone && r.ID != d.self {
+			peers = append(peers, r)
+		}
+	}
+	return peers
+}
+
+// remotePeers returns the instances of other zones.
+func (d *Disseminator) remotePeers(all []carawaycart.Registration) []carawaycart.Registration {
+	var remotePeers []carawaycart.Registration
+	for _, r := range all {
+		if r.Zone != d.zone {
+			remotePeers = append(remotePeers, r)
+		}
+	}
+	return remotePeers
+}
+
+// relayPeers returns up to relaysPerZone instances of each other zone, those with
+// the highest rendezvous hash for this instance.
+func (d *Disseminator) relayPeers(all []carawaycart.Registration) []carawaycart.Registration {
+	key := rendezvous.NewKey(string(d.self))
+	remotePeers := d.remotePeers(all)
+	slices.SortFunc(remotePeers, func(a, b carawaycart.Registration) int {
+		score := func(r carawaycart.Registration) uint64 {
+			return rendezvous.Score(rendezvous.NewName(string(r.ID)), key)
+		}
+		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(score(b), score(a)))
+	})
+	var relayPeers []carawaycart.Registration
+	inZone := 0
+	for i, r := range remotePeers {
+		if i == 0 || remotePeers[i-1].Zone != r.Zone {
+			inZone = 0
+		}
+		if inZone++; inZone <= relaysPerZone {
+			relayPeers = append(relayPeers, r)
+		}
+	}
+	return relayPeers
+}
+
+// receive applies a datagram from a peer. It requests probes of silent endpoints,
+// records outcomes of requests, or applies an update of the view, which it relays if
+// asked to. If the update is partial or its base is unknown here, it fetches a
+// snapshot.
+func (d *Disseminator) receive(data []byte, from netip.AddrPort) {
+	update := &message.DirectoryNews{}
+	if err := proto.Unmarshal(data, update); err != nil || update.GetFrom() == "" || update.GetFrom() == string(d.self) {
+		d.log.Event("newsRefused").Text("peer", from.String()).Err(err).End()
+		return
+	}
+	if len(update.GetSilentTokens()) > 0 {
+		for _, t := range update.GetSilentTokens() {
+			d.router.Doubt(carawaycart.Token(t))
+		}
+		return
+	}
+	if len(update.GetOutcomes()) > 0 {
+		outcomes := make([]steer.Outcomes, len(update.GetOutcomes()))
+		for i, o := range update.GetOutcomes() {
+			outcomes[i] = steer.Outcomes{Token: carawaycart.Token(o.GetToken()), Failed: int(o.GetFailed()), Answered: int(o.GetAnswered())}
+		}
+		d.router.TakeOutcomes(outcomes, d.clock.Now())
+		return
+	}
+	now := d.clock.Now()
+	began := now.Add(-time.Duration(update.GetAgeMs()) * time.Millisecond)
+	if update.GetTroubleMs() > 0 {
+		d.view.RecordStoreFailure(now.Add(-time.Duration(update.GetTroubleMs()-1) * time.Millisecond))
+	}
+	before := d.view.State()
+	delta := message.ToDifference(update)
+	if update.GetPartial() && delta.To > before.At || !d.view.ApplyUpdate(delta, update.GetFrom(), began) {
+		d.startFetch(update, from)
+		return
+	}
+	if update.GetRelay() && began.Sub(before.Confirmed) > minRelayAdvance || update.GetRelay() && delta.To > before.At {
+		d.relay(update, before.Instances)
+	}
+}
+
+// relay sends an update that this instance received as a relay to the peers of the
+// zone.
+func (d *Disseminator) relay(update *message.DirectoryNews, instances []carawaycart.Registration) {
+	relayed := proto.Clone(update).(*message.DirectoryNews)
+	relayed.Relay, relayed.From = false, string(d.self)
+	d.send(relayed, d.zonePeers(instances))
+}
+
+// startFetch fetches a snapshot from the sender of update in the background, and
+// then relays the update if the sender asked for that. It does nothing if a fetch is
+// in progress already.
+func (d *Disseminator) startFetch(update *message.DirectoryNews, from netip.AddrPort) {
+	d.mu.Lock()
+	busy := d.fetching
+	d.fetching = true
+	d.mu.Unlock()
+	if busy {
+		return
+	}
+	d.done.Go(func() {
+		ctx, cancel := context.WithTimeout(d.ctx, fetchTimeout)
+		defer cancel()
+		ok := d.Fetch(ctx, from, update.GetFrom())
+		d.mu.Lock()
+		d.fetching = false
+		d.mu.Unlock()
+		if ok && update.GetRelay() {
+			d.relay(update, d.view.State().Instances)
+		}
+	})
+}
+
+// Join fetches a snapshot from the peer at address, asks the peer to register own,
+// and reports whether the peer sent a snapshot.
+func (d *Disseminator) Join(ctx context.Context, address netip.AddrPort, own carawaycart.Registration) bool {
+	return d.requestSnapshot(ctx, address, address.String(), &message.DirectoryRequest{
+		Revision: uint64(d.view.State().At), Id: string(own.ID), Zone: string(own.Zone), PeerAddress: own.PeerAddress.String(),
+	})
+}
+
+// Fetch fetches a snapshot from the peer at address and applies it to the view. It
+// reports whether the peer sent one. The log calls the peer name.
+func (d *Disseminator) Fetch(ctx context.Context, address netip.AddrPort, name string) bool {
+	return d.requestSnapshot(ctx, address, name, &message.DirectoryRequest{Revision: uint64(d.view.State().At)})
+}
+
+// requestSnapshot sends r to the peer at address and applies the reply to the view.
+// It reports whether the peer sent a snapshot.
+func (d *Disseminator) requestSnapshot(ctx context.Context, address netip.AddrPort, name string, r *message.DirectoryRequest) bool {
+	began := d.clock.Now()
+	reply := &message.DirectoryCopy{}
+	err := d.client.Call(ctx, address, "Directory", r, reply)
+	if err == nil {
+		var snapshot directory.Copy
+		if snapshot, err = message.ToCopy(reply); err == nil && snapshot.At > 0 {
+			d.view.ApplySnapshot(snapshot, name, began.Add(-time.Duration(reply.GetAgeMs())*time.Millisecond))
+			return true
+		}
+	}
+	if err != nil {
+		d.client.Drop(address)
+		d.log.Event("fetchFailed").Text("peer", name).Err(err).End()
+	}
+	return false
+}
+
+// Directory returns a snapshot of the changes since the revision of the requesting
+// peer, and records the peer's registration if it asks for one. It returns a NotValid
+// error if the address of the registration is malformed.
+func (d *Disseminator) Directory(r *message.DirectoryRequest) (*message.DirectoryCopy, error) {
+	if r.GetId() != "" {
+		address, err := netip.ParseAddrPort(r.GetPeerAddress())
+		if err != nil {
+			return nil, errors.NewNotValid(err, "address of a registration")
+		}
+		d.registrar.RequestRegistration(carawaycart.Registration{
+			ID: carawaycart.InstanceID(r.GetId()), Zone: carawaycart.ZoneID(r.GetZone()), PeerAddress: address,
+		})
+	}
+	return d.snapshots.get(d.view, carawaycart.StoreRevision(r.GetRevision()), d.clock.Now())
+}
+
+// snapshotCacheTTL is how long an encoded snapshot is reused for peers at the same
+// revision.
+const snapshotCacheTTL = 300 * time.Millisecond
+
+// snapshotCache retains the last encoded snapshot, because all peers of a zone
+// request the same one after a change.
+type snapshotCache struct {
+	mu        sync.Mutex
+	since, at carawaycart.StoreRevision // revisions that reply leads from and to
+	confirmed time.Time                 // start of the read of the store that reply reflects
+	encoded   time.Time                 // when reply was encoded
+	reply     *message.DirectoryCopy
+}
+
+// get returns a snapshot for a peer that is complete up to revision since.
+func (c *snapshotCache) get(view *View, since carawaycart.StoreRevision, now time.Time) (*message.DirectoryCopy, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.reply == nil || c.since != since || c.at != view.State().At || now.Sub(c.encoded) > snapshotCacheTTL {
+		snapshot, confirmed := view.Since(since)
+		reply, err := message.FromCopy(snapshot, 0)
+		if err != nil {
+			return nil, err
+		}
+		c.since, c.at, c.confirmed, c.encoded, c.reply = since, snapshot.At, confirmed, now, reply
+	}
+	age := max(now.Sub(c.confirmed), 0)
+	return &message.DirectoryCopy{
+		AtRevision: c.reply.GetAtRevision(), AgeMs: uint32(age.Milliseconds()), CompressedBody: c.reply.GetCompressedBody(),
+	}, nil
+}
--- a/internal/edge/doc.go
+++ b/internal/edge/doc.go
@@ -1,12 +1,14 @@
-// Package edge assembles an instance for a fabric whose packets carry tokens.
+// Package edge assembles a load balancer instance for a fabric whose packets
+// carry tokens. A token identifies one lifetime of an endpoint.
 //
-// Its controllers meet on the View, the instance's copy of the platform's
-// store. The Reader reads the store, the Courier tells peers what was read and
-// takes in what they tell, the Port forwards packets by the table that is made
-// from the view, and the Registrar makes the instance known to the others.
+// The controllers share the View, the instance's replica of the platform's
+// store. The Reader reads the store. The Disseminator sends what was read to
+// peers and applies the updates that peers send. The fabric port forwards packets
+// according to the routing table built from the view. The Registrar maintains the
+// instance's entry in the store, by which peers find it.
 //
-// The store is read as seldom as the bounds allow: whoever finds the fleet's
-// last read too old reads again and tells everybody. Instances differ in how
-// old is too old, so one read at a time serves the whole fleet, and where the
-// fleet is cut apart, one for each part.
+// The store is read as seldom as the time limits for changes allow. An instance
+// that finds the fleet's last read too old reads the store and broadcasts the
+// result. The age at which an instance reads differs between instances, so that
+// one read at a time serves the whole fleet, or each part of a partitioned fleet.
 package edge
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -24,10 +24,16 @@
 )
 
 const (
-	quietPeriod  = 600 * time.Millisecond  // without packets, after which a stopping instance is not needed
-	noticePeriod = 1200 * time.Millisecond // for the fabric to notice that the instance is not ready: two misses, half a second apart
-	stopReserve  = 700 * time.Millisecond  // of the grace time, for the end itself
-	stopStep     = 50 * time.Millisecond
+	// idlePeriod is the time without packets after which a stopping instance may
+	// close.
+	idlePeriod = 600 * time.Millisecond
+
+	// unreadyNoticePeriod is the time the fabric needs to notice that the instance
+	// is not ready: two failed checks, half a second apart.
+	unreadyNoticePeriod = 1200 * time.Millisecond
+
+	closeReserve   = 700 * time.Millisecond // part of the grace time reserved for Close
+	stopPollPeriod = 50 * time.Millisecond
 )
 
 // Edge is one running instance.
@@ -37,27 +43,28 @@
 	log      *eventlog.Log
 	counters *Counters
 
-	router    *steer.Router
-	view      *View
-	store     *platform.Store
-	client    *peer.Client
-	courier   *Courier
-	registrar *Registrar
-	reader    *Reader
-	prober    *Prober
-	hedger    *Hedger
-	peers     *peer.Server
-	port      *fabric.Port
-	ready     *http.Server
-	operators *operator.Server
-
-	stopping atomic.Bool
-	isolated atomic.Bool // as logged
-	last     atomic.Int64
+	router         *steer.Router
+	view           *View
+	store          *platform.Store
+	client         *peer.Client
+	disseminator   *Disseminator
+	registrar      *Registrar
+	reader         *Reader
+	prober         *Prober
+	hedger         *Hedger
+	peerServer     *peer.Server
+	fabricPort     *fabric.Port
+	readyServer    *http.Server
+	operatorServer *operator.Server
+
+	stopping   atomic.Bool
+	isolated   atomic.Bool  // state of the last isolated event in the log
+	lastPacket atomic.Int64 // time of the last packet, in Unix nanoseconds of clock
 }
 
-// New returns a running instance with the given settings and open sockets.
-func New(s settings.Settings, o *Sockets, log *eventlog.Log) (*Edge, error) {
+// New starts an instance with the given settings on open sockets. It returns an
+// error if the server for peers cannot be started.
+func New(s settings.Settings, sockets *Sockets, log *eventlog.Log) (*Edge, error) {
 	clock := carawaycart.NewSteadyClock()
 	e := &Edge{clock: clock, log: log, counters: NewCounters()}
 	e.settings.Store(&s)
@@ -65,93 +72,96 @@
 	watcher := &observer{counters: e.counters, log: log, prober: e.prober}
 	e.router = steer.NewRouter(s.Zone, rand.NewPCG(rand.Uint64(), rand.Uint64()), watcher)
 	e.prober.router = e.router
-	e.hedger = NewHedger(e.router, o.Fabric, clock, log)
+	e.hedger = NewHedger(e.router, sockets.Fabric, clock, log)
 	e.view = NewView(s.ID, steer.Limits{ColdOverrun: s.ColdOverrun, ColdSlack: s.ColdSlack}, e.router, clock, log)
 	e.store = platform.NewStore(s.Store, e.counters.StoreCall)
 	e.client = peer.NewClient(e.counters)
-	own := carawaycart.Registration{ID: s.ID, Zone: s.Zone, PeerAddress: o.News.LocalAddr().(*net.UDPAddr).AddrPort()}
+	own := carawaycart.Registration{ID: s.ID, Zone: s.Zone, PeerAddress: sockets.Updates.LocalAddr().(*net.UDPAddr).AddrPort()}
 	e.registrar = NewRegistrar(own, e.store, e.view, clock, log)
-	e.courier = NewCourier(s.ID, s.Zone, e.view, e.router, o.News, e.client, e.registrar, clock, log)
-	watcher.courier = e.courier
-	e.prober.tell = e.courier.TellSilent
+	e.disseminator = NewDisseminator(s.ID, s.Zone, e.view, e.router, sockets.Updates, e.client, e.registrar, clock, log)
+	watcher.disseminator = e.disseminator
+	e.prober.notifySilent = e.disseminator.BroadcastSilent
 	var err error
-	if e.peers, err = peer.NewDirectoryServer(o.Peer, e.courier, e.counters); err != nil {
+	if e.peerServer, err = peer.NewDirectoryServer(sockets.Peer, e.disseminator, e.counters); err != nil {
 		return nil, err
 	}
-	e.port = fabric.NewTranslatorPort(o.Fabric, s.FabricThreads, func() fabric.Translator {
-		return &packets{router: e.router, clock: clock, counters: e.counters, resetPort: s.Fabric.Port(), last: &e.last, hedger: e.hedger}
+	e.fabricPort = fabric.NewTranslatorPort(sockets.Fabric, s.FabricThreads, func() fabric.Translator {
+		return &translator{router: e.router, clock: clock, counters: e.counters, resetPort: s.Fabric.Port(), lastPacket: &e.lastPacket, hedger: e.hedger}
 	})
-	e.counters.ShowView(
+	e.counters.RegisterViewGauges(
 		func() int64 { return int64(e.view.State().At) },
 		func() int64 { return clock.Now().Sub(e.view.State().Confirmed).Milliseconds() },
 	)
-	e.ready = newReadyServer(o.Ready, platform.ReadyPath, e.Ready)
-	e.operators = operator.NewServer(o.Operator, e, e.counters.Registry)
-	e.reader = NewReader(s, e.store, e.view, e.courier, e.registrar, clock, log)
+	e.readyServer = newReadyServer(sockets.Ready, platform.ReadyPath, e.Ready)
+	e.operatorServer = operator.NewServer(sockets.Operator, e, e.counters.Registry)
+	e.reader = NewReader(s, e.store, e.view, e.disseminator, e.registrar, clock, log)
 	go e.join(own)
 	log.Event("started").Text("zone", string(s.Zone)).Text("store", s.Store).End()
 	return e, nil
 }
 
-// joinPeriod is between tries to reach a seed; all instances may start at once.
-const joinPeriod = 50 * time.Millisecond
+// joinRetryPeriod is the time between attempts to reach a seed, which may itself
+// still be starting, since all instances may start at the same time.
+const joinRetryPeriod = 50 * time.Millisecond
 
-// When peers are asked which lifetimes have ended. Hosts that lose power with
-// their zone come back within 1.5 s, and only then their old lifetimes end.
+// Delays before each of the two requests to a peer for the ended lifetimes.
+// Endpoints that lose power with their zone return within 1.5 s, and their old
+// lifetimes end only then. The second request finds those.
 const (
-	firstRemember = 100 * time.Millisecond
-	laterRemember = 2500 * time.Millisecond
+	firstEndedFetchDelay  = 100 * time.Millisecond
+	secondEndedFetchDelay = 2500 * time.Millisecond
 )
 
-// join asks the seeds for what they know until one has answered or the store has.
-// Peers of other zones are asked besides, now and a little later: the store keeps
-// nothing of lifetimes that have ended, whose flows still come, and the peers of
-// the own zone may have started at the same moment.
+// join requests a snapshot from the seeds in turn until one of them or the store
+// has answered. It then fetches the ended lifetimes twice from a peer of another
+// zone: the store does not retain ended lifetimes, although packets of their flows
+// still arrive, and peers of the own zone may have started at the same time.
 func (e *Edge) join(own carawaycart.Registration) {
 	s := e.settings.Load()
-	for try := int(rand.Uint32() & math.MaxInt16); len(s.Seeds) > 0 && e.view.State().Confirmed.IsZero() && !e.stopping.Load(); try++ {
-		seed := netip.AddrPortFrom(s.Seeds[try%len(s.Seeds)].Addr(), s.Peer.Port())
+	for attempt := int(rand.Uint32() & math.MaxInt16); len(s.Seeds) > 0 && e.view.State().Confirmed.IsZero() && !e.stopping.Load(); attempt++ {
+		seed := netip.AddrPortFrom(s.Seeds[attempt%len(s.Seeds)].Addr(), s.Peer.Port())
 		if seed == s.Peer {
 			break
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), fetchLimit)
-		if e.courier.Join(ctx, seed, own) {
-			e.registrar.Asked()
+		ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
+		if e.disseminator.Join(ctx, seed, own) {
+			e.registrar.ExpectRegistration()
 		}
 		cancel()
-		time.Sleep(joinPeriod)
+		time.Sleep(joinRetryPeriod)
 	}
-	for _, wait := range []time.Duration{firstRemember, laterRemember} {
+	for _, wait := range []time.Duration{firstEndedFetchDelay, secondEndedFetchDelay} {
 		time.Sleep(wait)
 		if e.stopping.Load() {
 			return
 		}
-		e.remember()
+		e.fetchEnded()
 	}
 }
 
-// remember asks an instance of another zone, or of the own one if there is no
-// other.
-func (e *Edge) remember() {
+// fetchEnded fetches a snapshot, which includes the ended lifetimes, from a random
+// instance of another zone, or of the own zone if there is no other.
+func (e *Edge) fetchEnded() {
 	instances := e.view.State().Instances
-	peers := e.courier.others(instances)
+	peers := e.disseminator.remotePeers(instances)
 	if len(peers) == 0 {
-		peers = e.courier.neighbours(instances)
+		peers = e.disseminator.zonePeers(instances)
 	}
 	if len(peers) == 0 {
 		return
 	}
-	p := peers[rand.IntN(len(peers))]
-	ctx, cancel := context.WithTimeout(context.Background(), fetchLimit)
+	chosen := peers[rand.IntN(len(peers))]
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	e.courier.Fetch(ctx, p.PeerAddress, string(p.ID))
+	e.disseminator.Fetch(ctx, chosen.PeerAddress, string(chosen.ID))
 }
 
-// Reload takes in settings that were read again, or the reason why they could
-// not be. What names the instance or a socket takes effect at the next start.
+// Reload applies settings that were read again, or logs err if they could not be
+// read. A change of the instance's ID or zone, of a socket or of the number of
+// fabric threads takes effect at the next start.
 func (e *Edge) Reload(s settings.Settings, err error) {
 	if err == nil && s.Format != settings.FormatToken {
-		err = errors.NotValidf("change of format to %q", s.Format)
+		err = errors.NotValidf("change of fabric format to %q in a running instance", s.Format)
 	}
 	if err != nil {
 		e.log.Event("reloadRefused").Err(err).End()
@@ -165,89 +175,91 @@
 	e.log.Event("reloaded").Text("store", s.Store).Bool("restartNeeded", restart).End()
 }
 
-// isolatedAge is the age of the view above which nothing is heard from outside
-// the zone; peers or the own reads renew it about each 0.6 s.
-const isolatedAge = 1200 * time.Millisecond
+// isolatedViewAge is the age of the view above which the instance counts as cut
+// off from the store and from peers that read it. Reads by peers or by the
+// instance itself renew the view about every 0.6 s.
+const isolatedViewAge = 1200 * time.Millisecond
 
-// Ready reports whether the fabric may send packets. An instance that is cut off
-// from every endpoint, from the store and from all that read it asks for none, so
-// that the instances of another zone are sent them.
+// Ready reports whether the fabric may send packets to the instance. An isolated
+// instance is not ready, so that the fabric sends its packets to instances of
+// other zones.
 func (e *Edge) Ready() bool {
 	return !e.stopping.Load() && e.router.Table().Complete() && !e.Isolated()
 }
 
-// Isolated reports whether the instance can reach neither an endpoint that may
-// take new flows nor, by itself or through peers, the store.
+// Isolated reports whether the instance can reach neither an endpoint that accepts
+// new flows nor the store, directly or through peers. It logs each change.
 func (e *Edge) Isolated() bool {
 	age := e.clock.Now().Sub(e.view.State().Confirmed)
-	isolated := age > isolatedAge && !e.router.Reachable()
+	isolated := age > isolatedViewAge && !e.router.Reachable()
 	if e.isolated.Swap(isolated) != isolated {
 		e.log.Event("isolated").Bool("isolated", isolated).Millis("viewAgeMs", age).End()
 	}
 	return isolated
 }
 
-// Stop ends the instance as planned: it goes on forwarding until the fabric has
-// turned to others or the grace time is nearly over.
+// Stop shuts the instance down gracefully. The instance keeps forwarding packets
+// until the fabric no longer sends any or the grace time is nearly over.
 func (e *Edge) Stop() {
 	began := e.clock.Now()
 	e.stopping.Store(true)
 	e.log.Event("stopping").End()
-	deadline := began.Add(e.settings.Load().GraceSeconds.Duration() - stopReserve)
+	deadline := began.Add(e.settings.Load().GraceSeconds.Duration() - closeReserve)
 	for now := began; now.Before(deadline); now = e.clock.Now() {
-		quiet := now.Sub(time.Unix(0, e.last.Load())) > quietPeriod
-		if quiet && now.Sub(began) > noticePeriod {
+		idle := now.Sub(time.Unix(0, e.lastPacket.Load())) > idlePeriod
+		if idle && now.Sub(began) > unreadyNoticePeriod {
 			break
 		}
-		time.Sleep(stopStep)
+		time.Sleep(stopPollPeriod)
 	}
 	e.Close()
 	e.log.Event("stopped").Millis("tookMs", e.clock.Now().Sub(began)).End()
 }
 
-// Close ends the instance at once.
+// Close shuts the instance down immediately.
 func (e *Edge) Close() {
 	e.reader.Close()
-	e.courier.Close()
-	e.peers.Close()
-	if err := e.port.Close(); err != nil {
+	e.disseminator.Close()
+	e.peerServer.Close()
+	if err := e.fabricPort.Close(); err != nil {
 		e.log.Event("closeFailed").Err(err).End()
 	}
-	if err := e.ready.Close(); err != nil {
+	if err := e.readyServer.Close(); err != nil {
 		e.log.Event("closeFailed").Err(err).End()
 	}
-	e.operators.Close()
+	e.operatorServer.Close()
 	e.hedger.Close()
 	e.prober.Close()
 	e.client.Close()
 	e.store.Close()
 }
 
-// Sockets are the open sockets of an instance.
+// Sockets holds the open sockets of an instance.
 type Sockets struct {
 	Fabric   *net.UDPConn
-	News     *net.UDPConn
+	Updates  *net.UDPConn // messages between peers; has the address of Peer
 	Peer     net.Listener
 	Ready    net.Listener
 	Operator net.Listener
 }
 
-// Open opens the sockets that s names.
+// Open opens the sockets at the addresses in s. If one cannot be opened, it returns
+// the error and leaves the others open.
 func Open(s settings.Settings) (*Sockets, error) {
-	o := &Sockets{}
+	sockets := &Sockets{}
 	var err error
-	if o.Fabric, err = socket.ListenUDP(s.Fabric, "fabric", 0); err != nil {
+	if sockets.Fabric, err = socket.ListenUDP(s.Fabric, "fabric", 0); err != nil {
 		return nil, err
 	}
-	if o.News, err = socket.ListenUDP(s.Peer, "peer", 0); err != nil {
+	if sockets.Updates, err = socket.ListenUDP(s.Peer, "peer", 0); err != nil {
 		return nil, err
 	}
-	if o.Peer, err = socket.Listen(s.Peer, "peer"); err != nil {
+	if sockets.Peer, err = socket.Listen(s.Peer, "peer"); err != nil {
 		return nil, err
 	}
-	if o.Ready, err = socket.Listen(s.Ready, "ready"); err != nil {
+	if sockets.Ready, err = socket.Listen(s.Ready, "ready"); err != nil {
 		return nil, err
 	}
-	o.Operator, err = socket.Listen(s.Operator, "operator")
-	return o, err
+	sockets.Operator, err = socket.Listen(s.Operator, "operator")
+	return sockets, err
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -19,42 +19,45 @@
 	"carawaycart/platform/standin"
 )
 
-// instance is a running instance on a machine of a site.
+// instance is an instance under test on a machine of a site. Its edge is nil while
+// it is stopped.
 type instance struct {
-	machine standin.Machine
-	edge    *edge.Edge
-	log     *eventlog.Log
-	lines   lines
+	machine  standin.Machine
+	edge     *edge.Edge
+	log      *eventlog.Log
+	logLines logLines
 }
 
-// lines keeps what an instance logs, for tests that fail; it is safe for concurrent
-// use.
-type lines struct {
+// logLines collects the log of an instance, to be printed if the test fails. It is
+// safe for concurrent use.
+type logLines struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logLines) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logLines) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// fleet is a site with instances.
+// fleet is a site with running instances.
 type fleet struct {
 	*standin.Site
 	instances []*instance
 }
 
-func newFleet(t *testing.T, zones, hosts, perZone int) *fleet {
+// newFleet starts a site with the given numbers of zones, of endpoints and of
+// instances per zone, and waits until all instances are in rotation.
+func newFleet(t *testing.T, zones, endpoints, perZone int) *fleet {
 	t.Helper()
-	s, err := standin.NewSite(zones, hosts)
+	s, err := standin.NewSite(zones, endpoints)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +70,7 @@
 				i.log.Close()
 			}
 			if t.Failed() {
-				t.Logf("%s logged:\n%s", i.machine.Name, i.lines.String())
+				t.Logf("%s logged:\n%s", i.machine.Name, i.logLines.String())
 			}
 		}
 		s.Close()
@@ -87,10 +90,10 @@
 	return f
 }
 
-// start starts an instance; more is added to its settings.
-func (f *fleet) start(t *testing.T, i *instance, more string) {
+// start starts an instance. extraSettings are appended to its settings file.
+func (f *fleet) start(t *testing.T, i *instance, extraSettings string) {
 	t.Helper()
-	s, err := settings.Parse(i.machine.Name, []byte(f.Settings(i.machine)+more))
+	s, err := settings.Parse(i.machine.Name, []byte(f.Settings(i.machine)+extraSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +101,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	i.log = eventlog.New(s.ID, &i.lines)
+	i.log = eventlog.New(s.ID, &i.logLines)
 	if i.edge, err = edge.New(s, sockets, i.log); err != nil {
 		t.Fatal(err)
 	}
@@ -110,25 +113,26 @@
 	i.edge = nil
 }
 
-// await waits until condition holds; the wait is bounded only to end a test that
-// has failed.
+// await waits until condition holds. The limit of the wait only ends a test that has
+// failed.
 func (f *fleet) await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("got no end of waiting until %s; %s", what, f.Ledger.Summary())
+			t.Fatalf("timed out waiting until %s; %s", what, f.Ledger.Summary())
 		}
 	}
 }
 
-// served waits until so many more requests have ended.
-func (f *fleet) served(t *testing.T, n int) {
+// awaitRequests waits until n more requests have ended.
+func (f *fleet) awaitRequests(t *testing.T, n int) {
 	t.Helper()
 	before := f.Ledger.Total()
 	f.await(t, "requests are served", func() bool { return f.Ledger.Total() >= before+n })
 }
 
-func (f *fleet) check(t *testing.T) {
+// checkLedger ends the load and reports every violation in the ledger of requests.
+func (f *fleet) checkLedger(t *testing.T) {
 	t.Helper()
 	f.EndLoad()
 	for _, b := range f.Ledger.Broken() {
@@ -137,39 +141,42 @@
 	t.Log(f.Ledger.Summary(), "store calls", f.Store.Calls())
 }
 
-func TestQuietFleetServes(t *testing.T) {
+func TestHealthyFleetAnswersEveryRequest(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2, 3, 2)
 	f.BeginLoad(4, 20)
-	f.served(t, 300)
-	f.check(t)
+	f.awaitRequests(t, 300)
+	f.checkLedger(t)
 	if l := f.Ledger; l.Unknown > 0 || l.Refused > 0 {
 		t.Errorf("got %s, want every request answered", l.Summary())
 	}
 }
 
-func TestOneReadServesTheFleet(t *testing.T) {
+// Guards against each instance reading the store by itself, which multiplies the
+// load of the store by the size of the fleet.
+func TestFleetSharesStoreReads(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2, 2, 4)
 	f.BeginLoad(1, 5)
-	f.served(t, 20)
+	f.awaitRequests(t, 20)
 	before, began := f.Store.Calls(), time.Now()
-	f.served(t, 60)
+	f.awaitRequests(t, 60)
 	perSecond := float64(f.Store.Calls()-before) / time.Since(began).Seconds()
-	if perSecond > 8 { // one read for each instance and second
-		t.Errorf("got %.1f store calls a second from 8 instances, want far fewer than one each", perSecond)
+	if perSecond > 8 { // one read per instance and second
+		t.Errorf("got %.1f store calls per second from 8 instances, want at most one per instance", perSecond)
 	}
-	f.check(t)
+	f.checkLedger(t)
 }
 
-func TestChangesOfHostsZonesAndConfiguration(t *testing.T) {
+// Guards against new flows sent to a draining endpoint or an evacuated zone.
+func TestEndpointZoneAndConfigurationChanges(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2, 3, 2)
 	f.BeginLoad(4, 20)
-	f.served(t, 100)
+	f.awaitRequests(t, 100)
 	f.Drain(f.Hosts[0])
 	f.Evacuate("b", false)
-	f.served(t, 300)
+	f.awaitRequests(t, 300)
 	f.Evacuate("b", true)
 	if _, err := f.AddHost("a", 2*time.Second); err != nil {
 		t.Fatal(err)
@@ -177,28 +184,29 @@
 	if err := f.Configure(true); err != nil {
 		t.Fatal(err)
 	}
-	f.served(t, 300)
-	f.check(t)
+	f.awaitRequests(t, 300)
+	f.checkLedger(t)
 }
 
-func TestHostsGoDark(t *testing.T) {
+// Guards against requests that keep being sent to endpoints that do not answer.
+func TestUnreachableEndpoints(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2, 3, 2)
 	f.BeginLoad(4, 20)
-	f.served(t, 100)
+	f.awaitRequests(t, 100)
 	f.Hosts[1].Set(standin.Dark)
 	f.Hosts[4].Set(standin.Cut)
-	f.served(t, 200)
+	f.awaitRequests(t, 200)
 	f.Hosts[4].Set(standin.Well)
-	f.served(t, 200)
-	f.check(t)
+	f.awaitRequests(t, 200)
+	f.checkLedger(t)
 	if f.Ledger.Answered < 400 {
 		t.Errorf("got %s, want most requests answered", f.Ledger.Summary())
 	}
 }
 
-// Each fault of the store, for all, then for all but one instance, from which
-// the others learn.
+// Each fault of the store affects first all instances, and then all but one. Guards
+// against changes that do not reach the others through the one that reads the store.
 func TestStoreFaults(t *testing.T) {
 	for name, fault := range map[string]standin.Fault{
 		"busy": standin.FaultBusy, "many": standin.FaultMany, "silent": standin.FaultSilent,
@@ -207,17 +215,17 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, 2, 2, 2)
-			one := f.instances[0].machine.Store
+			healthyStore := f.instances[0].machine.Store
 			f.BeginLoad(3, 10)
 			f.Store.SetFault("", fault)
-			f.served(t, 60)
-			f.Store.SetFault(one, standin.FaultNone)
-			f.served(t, 60)
+			f.awaitRequests(t, 60)
+			f.Store.SetFault(healthyStore, standin.FaultNone)
+			f.awaitRequests(t, 60)
 			f.Drain(f.Hosts[0])
-			f.served(t, 150)
+			f.awaitRequests(t, 150)
 			f.Store.SetFault("", standin.FaultNone)
-			f.served(t, 60)
-			f.check(t)
+			f.awaitRequests(t, 60)
+			f.checkLedger(t)
 			if f.Ledger.Unknown > 0 {
 				t.Errorf("got %s, want every request answered", f.Ledger.Summary())
 			}
@@ -225,48 +233,52 @@
 	}
 }
 
-func TestInstancesAreKilledAndReturn(t *testing.T) {
+// Guards against flows that break when the instance that forwards them is killed,
+// restarted or shut down gracefully.
+func TestInstancesStopAndRestart(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2, 3, 3)
 	f.BeginLoad(4, 20)
-	f.served(t, 100)
+	f.awaitRequests(t, 100)
 	f.kill(f.instances[0])
-	f.served(t, 150)
+	f.awaitRequests(t, 150)
 	f.start(t, f.instances[0], "")
-	f.instances[3].edge.Stop() // as planned
+	f.instances[3].edge.Stop() // a graceful shutdown, unlike kill
 	f.instances[3].edge = nil
-	f.served(t, 150)
-	f.check(t)
+	f.awaitRequests(t, 150)
+	f.checkLedger(t)
 }
 
-// A starting instance learns from its peers while the store is away.
-func TestStartWithoutTheStore(t *testing.T) {
+// Guards against an instance that cannot start during an outage of the store,
+// although a peer could send it a snapshot.
+func TestStartWithoutStore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 1, 2, 2)
 	f.BeginLoad(2, 10)
-	f.served(t, 30)
+	f.awaitRequests(t, 30)
 	f.Store.SetFault("", standin.FaultSilent)
 	i := f.instances[0]
 	f.kill(i)
 	f.start(t, i, "[peers]\nseeds = "+f.instances[1].machine.IP+":1\n")
 	f.await(t, "the instance is ready without the store", i.edge.Ready)
-	f.served(t, 60)
-	f.check(t)
+	f.awaitRequests(t, 60)
+	f.checkLedger(t)
 }
 
-// An instance that reaches nothing leaves the rotation, so that other zones are
-// sent its packets, and comes back.
+// An instance that reaches neither endpoints nor the store must leave the rotation,
+// so that other zones receive its packets, and must return when an endpoint is
+// reachable again. Guards against packets lost in an isolated instance.
 func TestIsolatedInstanceIsNotReady(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 1, 2, 1)
 	f.BeginLoad(2, 20)
-	f.served(t, 30)
+	f.awaitRequests(t, 30)
 	for _, h := range f.Hosts {
 		h.Set(standin.Unreachable)
 	}
-	f.served(t, 60)
+	f.awaitRequests(t, 60)
 	if e := f.instances[0].edge; !e.Ready() {
-		t.Error("got an instance not ready that reaches the store, so other zones are no better off")
+		t.Error("got an instance that reaches the store not ready, want ready, since other zones cannot reach the endpoints either")
 	}
 	f.Store.SetFault("", standin.FaultSilent)
 	f.await(t, "the isolated instance is out of rotation", func() bool { return f.Routers.Ready() == 0 })
@@ -274,20 +286,21 @@
 		t.Errorf("got state %s, alarms %q, want isolated and an alarm", s.State, s.Alarms)
 	}
 	f.Hosts[0].Set(standin.Well)
-	f.await(t, "it is back", func() bool { return f.Routers.Ready() == 1 })
-	f.served(t, 30)
-	f.check(t)
+	f.await(t, "the instance is back in rotation", func() bool { return f.Routers.Ready() == 1 })
+	f.awaitRequests(t, 30)
+	f.checkLedger(t)
 }
 
-// Operators ask a running instance.
-func TestStatusMetricsAndExplanation(t *testing.T) {
+// Checks what operators query from a running instance: status, explanations of
+// flows, and metrics.
+func TestStatusMetricsAndExplain(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 1, 2, 2)
 	f.BeginLoad(2, 10)
-	f.served(t, 40)
+	f.awaitRequests(t, 40)
 	f.Hosts[1].Set(standin.Unreachable)
 	e := f.instances[0].edge
-	f.await(t, "the unreachable host is an alarm", func() bool { return len(e.Status().Alarms) > 0 })
+	f.await(t, "the unreachable endpoint raises an alarm", func() bool { return len(e.Status().Alarms) > 0 })
 	s := e.Status()
 	if s.State != "ready" || len(s.Members) != 2 || len(s.Endpoints) != 2 {
 		t.Errorf("got state %s, %d members, %d endpoints, want ready, 2, 2", s.State, len(s.Members), len(s.Endpoints))
@@ -297,7 +310,7 @@
 		t.Fatal(err)
 	}
 	if x, err := e.ExplainFlow(key); err != nil || x.Rule == "" {
-		t.Errorf("got rule %q, %v, want one", x.Rule, err)
+		t.Errorf("got rule %q, %v, want a rule and no error", x.Rule, err)
 	}
 	key.Service = netip.MustParseAddrPort("198.18.7.7:1")
 	if _, err := e.ExplainFlow(key); !errors.Is(err, errors.NotFound) {
--- a/internal/edge/hedger.go
+++ b/internal/edge/hedger.go
@@ -11,10 +11,12 @@
 	"carawaycart/platform"
 )
 
-// maxPending bounds the first packets that are held for another endpoint.
-const maxPending = 4096
+// maxPendingPackets limits the first packets that are retained for hedging. Further
+// packets are not hedged.
+const maxPendingPackets = 4096
 
-// Hedger sends first packets that go unanswered to another endpoint.
+// Hedger resends unanswered first packets of flows to another endpoint. It is safe
+// for concurrent use.
 type Hedger struct {
 	router *steer.Router
 	conn   *net.UDPConn
@@ -25,17 +27,17 @@
 	done   sync.WaitGroup
 
 	mu      sync.Mutex
-	pending []firstPacket // in order of due, nearly: patience differs between zones
+	pending []pendingPacket // nearly in order of due, since timeouts differ between zones
 }
 
-// firstPacket is a first packet whose answer has not been seen.
-type firstPacket struct {
+// pendingPacket is a first packet whose answer has not been seen.
+type pendingPacket struct {
 	key  carawaycart.FlowKey
-	data []byte // with room for the number before the packet
-	due  time.Time
+	data []byte    // the packet, after room for the endpoint's number
+	due  time.Time // when the packet is resent
 }
 
-// NewHedger returns a hedger that sends by conn until Close.
+// NewHedger returns a hedger that sends on conn until Close is called.
 func NewHedger(r *steer.Router, conn *net.UDPConn, k carawaycart.Clock, log *eventlog.Log) *Hedger {
 	h := &Hedger{router: r, conn: conn, clock: k, log: log, wake: make(chan struct{}, 1), stop: make(chan struct{})}
 	h.done.Go(func() {
@@ -56,19 +58,20 @@
 	return h
 }
 
-// Close stops sending.
+// Close stops the hedger. Pending packets are discarded.
 func (h *Hedger) Close() {
 	close(h.stop)
 	h.done.Wait()
 }
 
-// Hold keeps a copy of the first packet b, with the number before it, that was
-// sent to an endpoint in zone at now.
-func (h *Hedger) Hold(key *carawaycart.FlowKey, b []byte, zone carawaycart.ZoneID, now time.Time) {
-	p := firstPacket{key: *key, data: append([]byte(nil), b...), due: now.Add(h.router.Patience(zone))}
+// Schedule retains a copy of b, a first packet with the endpoint's number before it
+// that was sent to an endpoint in zone at now. The copy is resent when the timeout
+// of the zone expires without an answer.
+func (h *Hedger) Schedule(key *carawaycart.FlowKey, b []byte, zone carawaycart.ZoneID, now time.Time) {
+	p := pendingPacket{key: *key, data: append([]byte(nil), b...), due: now.Add(h.router.Patience(zone))}
 	h.mu.Lock()
 	idle := len(h.pending) == 0
-	if len(h.pending) < maxPending {
+	if len(h.pending) < maxPendingPackets {
 		h.pending = append(h.pending, p)
 	}
 	h.mu.Unlock()
@@ -80,8 +83,8 @@
 	}
 }
 
-// sendDue sends what is due, and returns how long until something else is, or
-// zero if nothing is held.
+// sendDue resends the packets that are due. It returns the time until the next
+// packet is due, or zero if none is pending.
 func (h *Hedger) sendDue() time.Duration {
 	for {
 		now := h.clock.Now()
@@ -98,11 +101,13 @@
 		}
 		h.pending = h.pending[1:]
 		h.mu.Unlock()
-		h.send(&p, now)
+		h.hedge(&p, now)
 	}
 }
 
-func (h *Hedger) send(p *firstPacket, now time.Time) {
+// hedge resends p to another endpoint if the router chooses one, and schedules the
+// next resend.
+func (h *Hedger) hedge(p *pendingPacket, now time.Time) {
 	d, ok := h.router.Hedge(&p.key, now)
 	if !ok {
 		return
@@ -112,5 +117,5 @@
 	if _, err := h.conn.WriteToUDPAddrPort(p.data, d.Address); err != nil {
 		h.log.Event("hedgeFailed").Flow(&p.key).Err(err).End()
 	}
-	h.Hold(&p.key, p.data, d.Zone, now)
+	h.Schedule(&p.key, p.data, d.Zone, now)
 }
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -8,23 +8,24 @@
 	"carawaycart/internal/eventlog"
 )
 
-// observer logs and counts what a router decides. It implements steer.Observer.
+// observer logs and counts the decisions of a router, and starts the probes and
+// broadcasts that they require. It implements steer.Observer.
 type observer struct {
-	counters *Counters
-	log      *eventlog.Log
-	prober   *Prober
-	courier  *Courier
+	counters     *Counters
+	log          *eventlog.Log
+	prober       *Prober
+	disseminator *Disseminator
 }
 
-// Placed logs which endpoint takes a flow.
-func (o *observer) Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *steer.Candidate, how steer.Placing) {
+// Placed logs the endpoint that a first packet is sent to.
+func (o *observer) Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *steer.Candidate, placing steer.Placing) {
 	o.counters.Placed.Inc(1)
-	if how.Hedge > 0 {
+	if placing.Hedge > 0 {
 		o.counters.Hedged.Inc(1)
 	}
-	o.log.Event("placed").Flow(key).Int("copy", int64(how.Copy)).Int("hedge", int64(how.Hedge)).Text("endpoint", string(e)).
+	o.log.Event("placed").Flow(key).Int("copy", int64(placing.Copy)).Int("hedge", int64(placing.Hedge)).Text("endpoint", string(e)).
 		Int("outstanding", int64(c.Outstanding)).Bool("avoided", c.Avoided).Bool("failing", c.Failing).Bool("cold", c.Cold).
-		Int("candidates", int64(how.Candidates)).Int("revision", int64(how.Revision)).End()
+		Int("candidates", int64(placing.Candidates)).Int("revision", int64(placing.Revision)).End()
 }
 
 // Refused logs why a packet was not forwarded.
@@ -37,43 +38,45 @@
 		Int("token", int64(p.Token)).Int("revision", int64(r)).End()
 }
 
-// Avoided logs that an endpoint left something unanswered.
+// Avoided logs that an endpoint is avoided for period because it left a packet or
+// request unanswered, as named by what.
 func (o *observer) Avoided(e carawaycart.EndpointID, what string, period time.Duration) {
 	o.counters.Avoided.Inc(1)
 	o.log.Event("avoided").Text("endpoint", string(e)).Text("unanswered", what).Millis("forMs", period).End()
 }
 
-// Recovered logs that an avoided endpoint has answered.
+// Recovered logs that an avoided endpoint has answered again.
 func (o *observer) Recovered(e carawaycart.EndpointID) {
 	o.log.Event("recovered").Text("endpoint", string(e)).End()
 }
 
-// Doubted has the endpoint probed.
+// Doubted starts probing an endpoint.
 func (o *observer) Doubted(l *carawaycart.Lifetime) { o.prober.Probe(l) }
 
-// Silenced logs that an endpoint answers nothing, or does again.
+// Silenced logs that an endpoint has become silent, or has answered again.
 func (o *observer) Silenced(e carawaycart.EndpointID, silent bool) {
-	o.counters.Silenced.Inc(one(silent))
+	o.counters.Silenced.Inc(boolToInt(silent))
 	o.log.Event("silent").Text("endpoint", string(e)).Bool("silent", silent).End()
 }
 
-// Overloaded logs how far new flows of a service are refused.
+// Overloaded logs the share of new flows of a service that are refused.
 func (o *observer) Overloaded(v steer.Overload) {
 	o.log.Event("overload").Text("service", string(v.Service)).Int("slowPercent", percent(v.Slow)).
 		Int("refusedPercent", percent(v.Level)).Int("urgentPercent", percent(v.Urgent)).End()
 }
 
-// Failing logs that endpoints left requests unanswered, and tells the zone.
+// Failing logs the outcomes of endpoints that left requests unanswered, and sends
+// them to the peers of the zone.
 func (o *observer) Failing(outcomes []steer.Outcomes) {
 	for _, f := range outcomes {
 		o.log.Event("failing").Int("token", int64(f.Token)).Int("failed", int64(f.Failed)).Int("answered", int64(f.Answered)).End()
 	}
-	o.courier.TellOutcomes(outcomes)
+	o.disseminator.BroadcastOutcomes(outcomes)
 }
 
 func percent(share float64) int64 { return int64(100 * share) }
 
-func one(b bool) int64 {
+func boolToInt(b bool) int64 {
 	if b {
 		return 1
 	}
--- /dev/null
+++ b/internal/edge/operatorconfig.go
@@ -0,0 +1,70 @@
+package edge
+
+import (
+	"context"
+
+	"github.com/juju/errors"
+
+	"carawaycart"
+	"carawaycart/core/config"
+	"carawaycart/core/directory"
+	"carawaycart/io/platform"
+)
+
+// directoryStore adapts a directory to a read-only carawaycart.Store.
+type directoryStore struct{ directory *directory.Directory }
+
+// Get returns the entry at key, or a NotFound error if there is none.
+func (s directoryStore) Get(_ context.Context, key string) (carawaycart.StoreEntry, error) {
+	item, ok := s.directory.Item(key)
+	if !ok {
+		return carawaycart.StoreEntry{}, errors.NotFoundf("item %s", key)
+	}
+	return carawaycart.StoreEntry{Key: item.Key, Value: item.Value, Index: carawaycart.StoreIndex(item.Revision)}, nil
+}
+
+// List returns a NotSupported error.
+func (s directoryStore) List(context.Context, string) ([]carawaycart.StoreEntry, error) {
+	return nil, errors.NotSupportedf("listing a directory")
+}
+
+// Wait returns a NotSupported error.
+func (s directoryStore) Wait(context.Context, string, carawaycart.StoreIndex) (carawaycart.StoreEntry, error) {
+	return carawaycart.StoreEntry{}, errors.NotSupportedf("waiting for a change of a directory")
+}
+
+// CompareAndSwap returns a NotSupported error.
+func (s directoryStore) CompareAndSwap(context.Context, string, []byte, carawaycart.StoreIndex) (bool, error) {
+	return false, errors.NotSupportedf("writing to a directory")
+}
+
+// loadOperatorConfig returns the configuration that operators have set with the
+// product's own commands: profiles, their services, marks of endpoints, and zones.
+func loadOperatorConfig(d *directory.Directory, clock carawaycart.Clock) (*config.Configuration, error) {
+	return platform.NewChangeLog(directoryStore{d}, clock).Latest(context.Background())
+}
+
+// applyOperatorConfig adds the zones that operators took out of service to
+// contents and marks the lifetimes of marked endpoints as draining. It returns the
+// profile of each service that has one.
+func applyOperatorConfig(contents *directory.Contents, operator *config.Configuration) map[carawaycart.ServiceID]carawaycart.Profile {
+	for id, z := range operator.Zones {
+		if z.Out {
+			contents.ZonesOut = append(contents.ZonesOut, id)
+		}
+	}
+	for i, l := range contents.Lifetimes {
+		if operator.Endpoints[l.ID].Mark != carawaycart.MarkNone && !l.Draining {
+			draining := *l
+			draining.Draining = true
+			contents.Lifetimes[i] = &draining
+		}
+	}
+	profiles := make(map[carawaycart.ServiceID]carawaycart.Profile)
+	for id, s := range operator.Services {
+		if p, ok := operator.Profiles[s.Profile]; ok {
+			profiles[id] = p
+		}
+	}
+	return profiles
+}
--- a/internal/edge/operators_test.go
+++ b/internal/edge/operatorconfig_test.go
@@ -12,9 +12,10 @@
 	"carawaycart/platform/standin"
 )
 
-// Operators' profiles, their services and zones live in the platform's store and
-// are in force on the fleet.
-func TestOperatorsProfilesAreInForce(t *testing.T) {
+// Profiles, services and zones that operators set are stored in the platform's store
+// and must take effect on the fleet. Guards against a configuration that is written
+// but not applied.
+func TestOperatorConfigTakesEffect(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2, 2, 2)
 	f.BeginLoad(3, 30)
@@ -36,19 +37,19 @@
 		ID: "desk", Address: netip.MustParseAddrPort("198.18.0.1:8443"), Profile: "timid",
 	})
 	put(carawaycart.KindZone, "a", carawaycart.Zone{ID: "a"})
-	f.served(t, 100) // the fleet reads the store in less
+	f.awaitRequests(t, 100) // takes longer than the next read of the store
 	const cold = 4 * time.Second
-	h, err := f.AddHost("a", cold)
+	coldHost, err := f.AddHost("a", cold)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "the cold host is known", func() bool { return len(f.instances[0].edge.Status().Endpoints) == 5 })
-	f.served(t, 100)
-	if n := h.FirstPackets(); n > 2 {
-		t.Errorf("got %d new flows at a cold host whose profile allows 2 in sum", n)
+	f.await(t, "the cold endpoint is listed", func() bool { return len(f.instances[0].edge.Status().Endpoints) == 5 })
+	f.awaitRequests(t, 100)
+	if n := coldHost.FirstPackets(); n > 2 {
+		t.Errorf("got %d new flows at a cold endpoint, want at most the 2 that its profile allows", n)
 	}
 	if _, err := a.SetZone(t.Context(), "b", true); err == nil {
-		t.Error("got a zone taken out that operators never set")
+		t.Error("got no error for taking out a zone that operators never set")
 	}
 	if _, err := a.SetZone(t.Context(), "a", true); err != nil {
 		t.Fatal(err)
@@ -58,7 +59,7 @@
 			host.Forbid(time.Now().Add(standin.EvacuateBound))
 		}
 	}
-	f.await(t, "bounds of time have passed", func() bool { return f.Hosts[0].Forbidden() })
-	f.served(t, 100)
-	f.check(t)
+	f.await(t, "the time limit of the evacuation has passed", func() bool { return f.Hosts[0].Forbidden() })
+	f.awaitRequests(t, 100)
+	f.checkLedger(t)
 }
--- a/internal/edge/prober.go
+++ b/internal/edge/prober.go
@@ -15,53 +15,59 @@
 )
 
 const (
-	probeLimit = 150 * time.Millisecond // for the answer to a probe; a round trip takes up to 45 ms between regions
-	// confirmPeriod is between the first two probes; it doubles up to maxProbe.
-	confirmPeriod = 100 * time.Millisecond
-	maxProbe      = 1600 * time.Millisecond
+	// probeTimeout limits the wait for the answer to a probe. A round trip between
+	// regions takes up to 45 ms.
+	probeTimeout = 150 * time.Millisecond
+
+	// initialProbePeriod is the time between the first two probes. The period
+	// doubles up to maxProbePeriod.
+	initialProbePeriod = 100 * time.Millisecond
+	maxProbePeriod     = 1600 * time.Millisecond
 )
 
-// Prober asks endpoints that left packets unanswered whether they are there.
+// Prober sends health checks to endpoints that left packets unanswered.
 type Prober struct {
-	router   *steer.Router
-	tell     func(carawaycart.Token) // peers of a silent endpoint
-	clock    carawaycart.Clock
-	counters *Counters
-	log      *eventlog.Log
-	client   *http.Client
-	ctx      context.Context
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
+	router       *steer.Router
+	notifySilent func(carawaycart.Token) // informs peers that an endpoint is silent
+	clock        carawaycart.Clock
+	counters     *Counters
+	log          *eventlog.Log
+	client       *http.Client
+	ctx          context.Context
+	cancel       context.CancelFunc
+	done         sync.WaitGroup
 
-	mu     sync.Mutex
-	asking map[carawaycart.LifetimeKey]bool
+	mu      sync.Mutex
+	probing map[carawaycart.LifetimeKey]bool // lifetimes being probed
 }
 
-// NewProber returns a prober; it must be given a router before its first use.
+// NewProber returns a prober. Its router and notifySilent must be set before Probe
+// is called.
 func NewProber(k carawaycart.Clock, c *Counters, log *eventlog.Log) *Prober {
 	p := &Prober{
-		clock: k, counters: c, log: log, asking: make(map[carawaycart.LifetimeKey]bool),
+		clock: k, counters: c, log: log, probing: make(map[carawaycart.LifetimeKey]bool),
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
 	}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
 
-// Close stops probing.
+// Close stops all probes and waits for them to end.
 func (p *Prober) Close() {
 	p.cancel()
 	p.done.Wait()
 }
 
-// Probe asks the endpoint of l until it answers or has ended.
+// Probe starts probing the endpoint of l until it answers or l has ended. It does
+// nothing if l is being probed already.
 func (p *Prober) Probe(l *carawaycart.Lifetime) {
 	key := l.Key()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.asking[key] || p.ctx.Err() != nil {
+	if p.probing[key] || p.ctx.Err() != nil {
 		return
 	}
-	p.asking[key] = true
+	p.probing[key] = true
 	address := l.Address.String()
 	id := string(l.ID)
 	service := l.Service
@@ -69,18 +75,18 @@
 	p.done.Go(func() {
 		defer func() {
 			p.mu.Lock()
-			delete(p.asking, key)
+			delete(p.probing, key)
 			p.mu.Unlock()
 		}()
-		for period := confirmPeriod; ; period = min(2*period, maxProbe) {
+		for period := initialProbePeriod; ; period = min(2*period, maxProbePeriod) {
 			began := p.clock.Now()
-			alive := p.ask("http://"+address+p.router.Table().HealthPath(service), id)
+			alive := p.probeOnce("http://"+address+p.router.Table().HealthPath(service), id)
 			again, silent := p.router.Probed(key, alive, began, p.clock.Now())
 			if !again {
 				return
 			}
 			if silent {
-				p.tell(token)
+				p.notifySilent(token)
 			}
 			select {
 			case <-p.ctx.Done():
@@ -91,11 +97,12 @@
 	})
 }
 
-// ask reports whether endpoint id is there to answer at url. One that accepts the
-// connection is, even if it is too busy to answer in time; another endpoint that
-// has the address by now speaks for itself alone.
-func (p *Prober) ask(url, id string) bool {
-	ctx, cancel := context.WithTimeout(p.ctx, probeLimit)
+// probeOnce reports whether endpoint id is alive at url. An endpoint that accepts
+// the connection is alive, even if it is too busy to answer in time. An answer with
+// the ID of another endpoint, which may have been given the address since, does not
+// count.
+func (p *Prober) probeOnce(url, id string) bool {
+	ctx, cancel := context.WithTimeout(p.ctx, probeTimeout)
 	defer cancel()
 	p.counters.Probes.Inc(1)
 	var connected atomic.Bool
@@ -103,13 +110,13 @@
 	request, err := http.NewRequestWithContext(traced, http.MethodGet, url, nil)
 	if err != nil {
 		p.log.Event("probeFailed").Err(err).End()
-		return true // an endpoint that cannot be asked is not condemned
+		return true // no probe was sent, so there is no evidence against the endpoint
 	}
 	response, err := p.client.Do(request)
 	if err != nil {
 		return connected.Load()
 	}
 	_ = response.Body.Close()
-	name := response.Header.Get(platform.EndpointHeader)
-	return name == "" || name == id
+	responder := response.Header.Get(platform.EndpointHeader)
+	return responder == "" || responder == id
 }
--- a/internal/edge/prober_test.go
+++ b/internal/edge/prober_test.go
@@ -8,16 +8,16 @@
 	"carawaycart"
 )
 
-// An address is given to another endpoint after an end: its answer must not be
-// taken for the answer of the one before.
-func TestProbeTellsEndpointsApart(t *testing.T) {
+// After a lifetime has ended, its address may be given to another endpoint. Guards
+// against counting the answer of the new endpoint as an answer of the old one.
+func TestProbeChecksEndpointIdentity(t *testing.T) {
 	for _, test := range []struct {
 		name, answers string
 		want          bool
 	}{
-		{"the same", "i-1", true},
-		{"another", "i-2", false},
-		{"one that names nobody", "", true},
+		{"the same endpoint", "i-1", true},
+		{"another endpoint", "i-2", false},
+		{"an answer without an ID", "", true},
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if test.answers != "" {
@@ -26,7 +26,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}))
 		p := NewProber(carawaycart.NewSteadyClock(), NewCounters(), nil)
-		if got := p.ask(s.URL, "i-1"); got != test.want {
+		if got := p.probeOnce(s.URL, "i-1"); got != test.want {
 			t.Errorf("%s: got alive %t, want %t", test.name, got, test.want)
 		}
 		p.Close()
@@ -34,23 +34,24 @@
 	}
 }
 
-func TestProbeOfNobody(t *testing.T) {
+func TestProbeOfClosedPort(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	s.Close()
 	p := NewProber(carawaycart.NewSteadyClock(), NewCounters(), nil)
 	defer p.Close()
-	if p.ask(s.URL, "i-1") {
-		t.Error("got a closed port alive")
+	if p.probeOnce(s.URL, "i-1") {
+		t.Error("got alive for a closed port, want not alive")
 	}
 }
 
-// A host that is overloaded accepts connections and answers late: it lives.
-func TestProbeOfABusyEndpoint(t *testing.T) {
+// An overloaded endpoint accepts connections but answers late. Guards against
+// treating it as dead.
+func TestProbeOfOverloadedEndpoint(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer s.Close()
 	p := NewProber(carawaycart.NewSteadyClock(), NewCounters(), nil)
 	defer p.Close()
-	if !p.ask(s.URL, "i-1") {
-		t.Error("got an endpoint that accepts connections taken for dead")
+	if !p.probeOnce(s.URL, "i-1") {
+		t.Error("got not alive for an endpoint that accepts connections, want alive")
 	}
 }
--- a/internal/edge/reader.go
+++ b/internal/edge/reader.go
@@ -17,132 +17,154 @@
 )
 
 const (
-	readPeriod     = 600 * time.Millisecond // between reads of the fleet; changes must be in force within 3 s
-	zoneStep       = 150 * time.Millisecond // an instance of the next zone waits longer by this; a read takes up to 120 ms on a 10 Mbit/s link
-	rankStep       = 200 * time.Millisecond // the next instance of a zone waits longer by this
-	maxZone        = 4                      // zones wait no longer than this one
-	maxRank        = 4                      // ranks wait no longer than this one
-	readLimit      = time.Second            // for the store's answer, which takes 4 ms and up to 60 times that when slow
-	seedHeadStart  = 12 * time.Millisecond  // a seed answers within 5 ms
-	startHeadStart = time.Second            // when the whole fleet starts for the first time, seeds take up to 0.3 s
-	firstRetry     = 100 * time.Millisecond
-	retryPeriod    = 400 * time.Millisecond
-	maxRetry       = 2 * time.Second
-	maxRetries     = 6 // doublings of a retry
+	// readPeriod is the time between reads by the fleet. Changes must take effect
+	// within 3 s.
+	readPeriod = 600 * time.Millisecond
+
+	// zoneDelayStep is the additional delay of each further zone. A read takes up to
+	// 120 ms on a 10 Mbit/s link.
+	zoneDelayStep = 150 * time.Millisecond
+
+	rankDelayStep = 200 * time.Millisecond // additional delay of each further instance of a zone
+	maxZoneSteps  = 4                      // limit of the steps by zone
+	maxRankSteps  = 4                      // limit of the steps by rank in the zone
+
+	// readTimeout limits a read of the store, which takes 4 ms, and up to 60 times
+	// as long when the store is slow.
+	readTimeout = time.Second
+
+	// seedHeadStart is the time that seeds have to answer before the store is read.
+	// A seed answers within 5 ms.
+	seedHeadStart = 12 * time.Millisecond
+
+	// firstStartHeadStart replaces seedHeadStart when the whole fleet starts for the
+	// first time. Seeds then take up to 0.3 s to answer.
+	firstStartHeadStart = time.Second
+
+	firstReadRetryPeriod = 100 * time.Millisecond // first retry period while the store has never been read
+	retryPeriod          = 400 * time.Millisecond // first retry period after that
+	maxRetryPeriod       = 2 * time.Second
+	maxRetryDoublings    = 6
 )
 
-// Reader reads the store when the fleet's last read is too old.
+// Reader reads the store when the fleet's last read is too old, and maintains the
+// instance's registration.
 type Reader struct {
-	self      carawaycart.InstanceID
-	zone      carawaycart.ZoneID
-	store     *platform.Store
-	view      *View
-	courier   *Courier
-	registrar *Registrar
-	clock     carawaycart.Clock
-	log       *eventlog.Log
-
-	first    time.Time // when the store is read if no seed has answered
-	failures int
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
+	self         carawaycart.InstanceID
+	zone         carawaycart.ZoneID
+	store        *platform.Store
+	view         *View
+	disseminator *Disseminator
+	registrar    *Registrar
+	clock        carawaycart.Clock
+	log          *eventlog.Log
+
+	firstRead time.Time // when the store is first read if no seed has answered
+	failures  int       // consecutive failed reads
+	cancel    context.CancelFunc
+	done      sync.WaitGroup
 }
 
-// NewReader returns a reader for the instance with settings s that reads store
-// into v until Close.
-func NewReader(s settings.Settings, store *platform.Store, v *View, c *Courier, g *Registrar, k carawaycart.Clock, log *eventlog.Log) *Reader {
+// NewReader returns a reader for the instance with settings s. It reads store into
+// v until Close is called.
+func NewReader(s settings.Settings, store *platform.Store, v *View, d *Disseminator, g *Registrar, k carawaycart.Clock, log *eventlog.Log) *Reader {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &Reader{self: s.ID, zone: s.Zone, store: store, view: v, courier: c, registrar: g, clock: k, log: log, cancel: cancel}
-	r.first = k.Now().Add(headStart(s))
+	r := &Reader{self: s.ID, zone: s.Zone, store: store, view: v, disseminator: d, registrar: g, clock: k, log: log, cancel: cancel}
+	r.firstRead = k.Now().Add(headStart(s))
 	r.done.Go(func() {
 		for ctx.Err() == nil {
-			r.step(ctx)
+			r.readWhenDue(ctx)
 		}
 	})
 	return r
 }
 
-// Close stops reading.
+// Close cancels a read in progress and stops the reader.
 func (r *Reader) Close() {
 	r.cancel()
 	r.done.Wait()
 }
 
-// headStart returns how much sooner than the store the seeds are asked. An
-// instance that is a seed itself, or has none, reads the store at once.
+// headStart returns how long the instance waits for its seeds before it reads the
+// store. It is zero for an instance that is a seed or has no seeds.
 func headStart(s settings.Settings) time.Duration {
-	own := func(a netip.AddrPort) bool { return a.Addr() == s.Peer.Addr() }
+	isSelf := func(a netip.AddrPort) bool { return a.Addr() == s.Peer.Addr() }
 	switch {
-	case len(s.Seeds) == 0 || slices.ContainsFunc(s.Seeds, own):
+	case len(s.Seeds) == 0 || slices.ContainsFunc(s.Seeds, isSelf):
 		return 0
 	case s.FirstStart:
-		return startHeadStart
+		return firstStartHeadStart
 	}
 	return seedHeadStart
 }
 
-func later(a, b time.Time) time.Time {
+// laterTime returns the later of two times.
+func laterTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// step waits until a read is due, unless a peer reads first.
-func (r *Reader) step(ctx context.Context) {
-	s := r.view.State()
-	wait := r.due(&s).Sub(r.clock.Now())
+// readWhenDue waits until a read is due and reads the store, unless a peer reads it first.
+// It then reconciles the registration.
+func (r *Reader) readWhenDue(ctx context.Context) {
+	state := r.view.State()
+	wait := r.nextRead(&state).Sub(r.clock.Now())
 	if wait > 0 {
 		t := time.NewTimer(wait)
 		defer t.Stop()
-		var moved <-chan struct{}
-		if s.Confirmed.IsZero() {
-			moved = s.Moved
+		var renewed <-chan struct{}
+		if state.Confirmed.IsZero() {
+			renewed = state.Renewed
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-moved:
+		case <-renewed:
 		case <-t.C:
 		}
-		if !r.view.State().Confirmed.Equal(s.Confirmed) {
-			r.registrar.Tend(ctx)
+		if !r.view.State().Confirmed.Equal(state.Confirmed) {
+			r.registrar.Reconcile(ctx)
 			return
 		}
 	}
 	r.read(ctx)
-	r.registrar.Tend(ctx)
+	r.registrar.Reconcile(ctx)
 }
 
-// due returns when the instance has to read the store if nobody has before.
-func (r *Reader) due(s *State) time.Time {
-	if s.Confirmed.IsZero() {
-		return later(r.first, r.clock.Now().Add(r.backoff(firstRetry)))
+// nextRead returns the time at which the instance reads the store unless a later
+// read by a peer becomes known before.
+func (r *Reader) nextRead(state *State) time.Time {
+	if state.Confirmed.IsZero() {
+		return laterTime(r.firstRead, r.clock.Now().Add(r.backoff(firstReadRetryPeriod)))
 	}
-	due := s.Confirmed.Add(readPeriod + delay(r.self, r.zone, s.Instances, r.registrar.Written()))
+	nextRead := state.Confirmed.Add(readPeriod + readDelay(r.self, r.zone, state.Instances, r.registrar.Written()))
 	if r.failures > 0 {
-		if retry := r.clock.Now().Add(r.backoff(retryPeriod)); retry.After(due) {
+		if retry := r.clock.Now().Add(r.backoff(retryPeriod)); retry.After(nextRead) {
 			return retry
 		}
 	}
-	return due
+	return nextRead
 }
 
-// backoff returns how long to wait after failures in a row.
+// backoff returns the delay before the next read: zero without failures, else first
+// doubled with each consecutive failure, up to maxRetryPeriod.
 func (r *Reader) backoff(first time.Duration) time.Duration {
 	if r.failures == 0 {
 		return 0
 	}
-	return min(first<<min(r.failures-1, maxRetries), maxRetry)
+	return min(first<<min(r.failures-1, maxRetryDoublings), maxRetryPeriod)
 }
 
-// delay returns how much longer than readPeriod the instance waits for others to
-// read: zones take turns in their order, and so do the instances of a zone. Those
-// that are not listed yet, and have not written their entry themselves, come last:
-// they do not know how many of them there are.
-func delay(self carawaycart.InstanceID, zone carawaycart.ZoneID, instances []carawaycart.Registration, written bool) time.Duration {
+// readDelay returns how much longer than readPeriod the instance waits for others to
+// read. The delay grows with the position of the zone in sorted order, and with the
+// instance's rank in the zone by rendezvous hash. An instance that is neither listed
+// nor has written its own entry gets the last rank, because it cannot tell how many
+// such instances there are.
+func readDelay(self carawaycart.InstanceID, zone carawaycart.ZoneID, instances []carawaycart.Registration, written bool) time.Duration {
 	key := rendezvous.NewKey("reader")
-	own := rendezvous.Score(rendezvous.NewName(string(self)), key)
+	ownScore := rendezvous.Score(rendezvous.NewName(string(self)), key)
 	rank := 0
 	zones := []carawaycart.ZoneID{zone}
 	listed := written
@@ -151,29 +173,29 @@
 		if !slices.Contains(zones, i.Zone) {
 			zones = append(zones, i.Zone)
 		}
-		if i.Zone == zone && i.ID != self && rendezvous.Score(rendezvous.NewName(string(i.ID)), key) > own {
+		if i.Zone == zone && i.ID != self && rendezvous.Score(rendezvous.NewName(string(i.ID)), key) > ownScore {
 			rank++
 		}
 	}
 	if !listed {
-		rank = maxRank
+		rank = maxRankSteps
 	}
 	slices.Sort(zones)
-	return time.Duration(min(slices.Index(zones, zone), maxZone))*zoneStep + time.Duration(min(rank, maxRank))*rankStep
+	return time.Duration(min(slices.Index(zones, zone), maxZoneSteps))*zoneDelayStep + time.Duration(min(rank, maxRankSteps))*rankDelayStep
 }
 
-// read reads the store and tells the peers.
+// read reads the store into the view and broadcasts the changes to peers.
 func (r *Reader) read(ctx context.Context) {
-	call, cancel := context.WithTimeout(ctx, readLimit)
+	callCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	began := r.clock.Now()
-	read, err := r.store.ReadAll(call, "")
+	read, err := r.store.ReadAll(callCtx, "")
 	now := r.clock.Now()
 	if err != nil {
 		if ctx.Err() != nil {
 			return
 		}
-		r.view.Trouble(now)
+		r.view.RecordStoreFailure(now)
 		r.failures++
 		r.log.Event("storeFailed").Int("failures", int64(r.failures)).Millis("tookMs", now.Sub(began)).Err(err).End()
 		return
@@ -182,10 +204,11 @@
 		r.log.Event("storeRegained").Int("failures", int64(r.failures)).Int("revision", int64(read.At)).End()
 	}
 	r.failures = 0
-	change := r.view.TakeRead(read, began)
-	r.log.Event("read").Int("revision", int64(read.At)).Int("written", int64(len(change.Items))).
-		Int("missing", int64(len(change.Missing))).Millis("tookMs", now.Sub(began)).End()
-	r.courier.Tell(change, began)
+	delta := r.view.ApplyRead(read, began)
+	r.log.Event("read").Int("revision", int64(read.At)).Int("written", int64(len(delta.Items))).
+		Int("missing", int64(len(delta.Missing))).Millis("tookMs", now.Sub(began)).End()
+	r.disseminator.Broadcast(delta, began)
 }
 
+// isClosed reports whether err results from the use of a closed connection.
 func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
--- a/internal/edge/reader_test.go
+++ b/internal/edge/reader_test.go
@@ -8,6 +8,7 @@
 	"carawaycart"
 )
 
+// registrations returns perZone registrations in each of the zones.
 func registrations(perZone int, zones ...carawaycart.ZoneID) []carawaycart.Registration {
 	var all []carawaycart.Registration
 	for _, z := range zones {
@@ -18,37 +19,39 @@
 	return all
 }
 
-func TestOneInstanceReadsFirst(t *testing.T) {
+// Guards against several instances reading the store at the same time.
+func TestSingleInstanceHasNoReadDelay(t *testing.T) {
 	all := registrations(5, "a", "b")
-	turns := make(map[time.Duration]int)
+	delays := make(map[time.Duration]int)
 	for _, i := range all {
-		turns[delay(i.ID, i.Zone, all, false)]++
+		delays[readDelay(i.ID, i.Zone, all, false)]++
 	}
-	if turns[0] != 1 {
-		t.Errorf("got %d instances that read at once, want 1: %v", turns[0], turns)
+	if delays[0] != 1 {
+		t.Errorf("got %d instances that read without delay, want 1: %v", delays[0], delays)
 	}
 }
 
-// The load pattern: a fleet starts for the first time, and all but the seeds are
-// still to be listed when the first read gets old.
-func TestUnlistedInstancesLetListedOnesRead(t *testing.T) {
+// When a fleet starts for the first time, all instances but the seeds are still
+// unlisted when the first read becomes too old. Guards against all of them reading
+// the store at the same time.
+func TestUnlistedInstancesReadLast(t *testing.T) {
 	listed := registrations(1, "a", "b")
-	longest := time.Duration(0)
+	maxListedDelay := time.Duration(0)
 	for _, i := range listed {
-		longest = max(longest, delay(i.ID, i.Zone, listed, false))
+		maxListedDelay = max(maxListedDelay, readDelay(i.ID, i.Zone, listed, false))
 	}
 	for _, i := range registrations(40, "a", "b", "c")[1:] {
 		if i.ID == listed[1].ID {
 			continue
 		}
-		if got := delay(i.ID, i.Zone, listed, false); got <= longest {
-			t.Errorf("%s: got a delay of %v, want more than %v of the listed ones", i.ID, got, longest)
+		if got := readDelay(i.ID, i.Zone, listed, false); got <= maxListedDelay {
+			t.Errorf("%s: got delay %v, want more than %v, the maximum of the listed instances", i.ID, got, maxListedDelay)
 		}
 	}
-	if got := delay("a-0", "a", nil, true); got != 0 {
-		t.Errorf("got a delay of %v of an instance that has written its entry, want none", got)
+	if got := readDelay("a-0", "a", nil, true); got != 0 {
+		t.Errorf("got delay %v of an instance that has written its entry, want 0", got)
 	}
-	if got := delay("a-1", "a", nil, false); got == 0 {
-		t.Error("got no delay of an instance that is not listed")
+	if got := readDelay("a-1", "a", nil, false); got == 0 {
+		t.Error("got no delay of an unlisted instance, want a delay")
 	}
 }
--- a/internal/edge/ready.go
+++ b/internal/edge/ready.go
@@ -6,9 +6,12 @@
 	"time"
 )
 
-const readyLimit = 2 * time.Second // for a question of the fabric, which asks twice a second
+// readyHeaderTimeout limits the time to read the header of a readiness check. The
+// fabric checks twice a second.
+const readyHeaderTimeout = 2 * time.Second
 
-// newReadyServer serves the fabric's question whether to send packets.
+// newReadyServer serves the fabric's readiness checks at path. It answers 200 if
+// ready returns true, and 503 otherwise.
 func newReadyServer(listener net.Listener, path string, ready func() bool) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
@@ -16,7 +19,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: readyLimit}
+	s := &http.Server{Handler: mux, ReadHeaderTimeout: readyHeaderTimeout}
 	go func() { _ = s.Serve(listener) }()
 	return s
 }
--- a/internal/edge/registrar.go
+++ b/internal/edge/registrar.go
@@ -12,16 +12,26 @@
 )
 
 const (
-	leaseLength    = 10 * time.Minute // the longest the store grants; a dead instance is listed no longer
-	renewPeriod    = leaseLength / 3
-	registerPeriod = 3 * time.Second        // between tries; a written entry shows after the next read
-	gatherPeriod   = 400 * time.Millisecond // for others that start at the same time to ask
-	registerLimit  = time.Second
+	// leaseTTL is the longest lifetime of a lease that the store grants. The entry of
+	// an instance that died is listed until its lease expires.
+	leaseTTL    = 10 * time.Minute
+	renewPeriod = leaseTTL / 3
+
+	// registerRetryPeriod is the time between attempts. A written entry is visible
+	// only after the next read of the store.
+	registerRetryPeriod = 3 * time.Second
+
+	// gatherPeriod is how long requests are collected, so that the entries of
+	// instances that start at the same time are written together.
+	gatherPeriod = 400 * time.Millisecond
+
+	registerTimeout = time.Second
 )
 
-// Registrar keeps the instance's entry in the store, by which peers find it. An
-// instance that starts asks a peer to write its entry with those of others, and
-// does so itself if it is not listed soon.
+// Registrar maintains the instance's entry in the store, by which peers find it. A
+// starting instance asks a peer to write its entry together with those of others,
+// and writes it itself if it is not listed after registerRetryPeriod. A Registrar is
+// safe for concurrent use.
 type Registrar struct {
 	own   carawaycart.Registration
 	store *platform.Store
@@ -29,35 +39,37 @@
 	clock carawaycart.Clock
 	log   *eventlog.Log
 
-	mu     sync.Mutex
-	lease  platform.LeaseID
-	renew  time.Time // when the lease has to be renewed
-	retry  time.Time // when entries may be written again
-	asked  []carawaycart.Registration
-	gather time.Time // when the entries of asked are to be written
+	mu          sync.Mutex
+	lease       platform.LeaseID
+	renewAt     time.Time                  // when the lease is next renewed
+	retryAt     time.Time                  // when the own entry may be written again
+	requested   []carawaycart.Registration // entries that peers asked for
+	gatherUntil time.Time                  // when the entries in requested are written
 }
 
-// NewRegistrar returns a registrar for own, which has not been written yet.
+// NewRegistrar returns a registrar for the entry own. It writes nothing until
+// Reconcile is called.
 func NewRegistrar(own carawaycart.Registration, s *platform.Store, v *View, k carawaycart.Clock, log *eventlog.Log) *Registrar {
 	return &Registrar{own: own, store: s, view: v, clock: k, log: log}
 }
 
-// Asked notes that a peer has been asked to write the instance's entry.
-func (g *Registrar) Asked() {
+// ExpectRegistration records that a peer has been asked to write the instance's
+// entry, and defers writing it by registerRetryPeriod.
+func (g *Registrar) ExpectRegistration() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.retry = g.clock.Now().Add(registerPeriod)
+	g.retryAt = g.clock.Now().Add(registerRetryPeriod)
 }
 
-// Ask takes in that an instance wants its entry written.
-func (g *Registrar) Ask(r carawaycart.Registration) {
+// RequestRegistration records that another instance asks for its entry r to be written.
+func (g *Registrar) RequestRegistration(r carawaycart.Registration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.asked) == 0 {
-		g.gather = g.clock.Now().Add(gatherPeriod)
+	if len(g.requested) == 0 {
+		g.gatherUntil = g.clock.Now().Add(gatherPeriod)
 	}
-	if !slices.Contains(g.asked, r) {
-		g.asked = append(g.asked, r)
+	if !slices.Contains(g.requested, r) {
+		g.requested = append(g.requested, r)
 	}
 }
 
@@ -68,54 +80,55 @@
 	return g.lease != 0
 }
 
-// Tend writes the entries that are missing, and renews their lease when it is
-// time.
-func (g *Registrar) Tend(ctx context.Context) {
+// Reconcile writes the entries that are absent from the store, or renews their lease
+// if that is due. It does nothing before the store has been read.
+func (g *Registrar) Reconcile(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := g.view.State()
+	state := g.view.State()
 	now := g.clock.Now()
-	if s.Confirmed.IsZero() {
+	if state.Confirmed.IsZero() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, registerLimit)
+	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
-	if missing := g.missing(&s, now); len(missing) > 0 {
-		g.retry = now.Add(registerPeriod)
-		if err := g.register(ctx, missing, now); err != nil {
-			g.log.Event("registrationFailed").Int("entries", int64(len(missing))).Err(err).End()
+	if due := g.due(&state, now); len(due) > 0 {
+		g.retryAt = now.Add(registerRetryPeriod)
+		if err := g.register(ctx, due, now); err != nil {
+			g.log.Event("registrationFailed").Int("entries", int64(len(due))).Err(err).End()
 			return
 		}
-		g.asked = nil
-		g.log.Event("registered").Int("entries", int64(len(missing))).Int("lease", int64(g.lease)).End()
+		g.requested = nil
+		g.log.Event("registered").Int("entries", int64(len(due))).Int("lease", int64(g.lease)).End()
 		return
 	}
-	if g.lease != 0 && now.After(g.renew) {
-		g.renew = now.Add(registerPeriod)
+	if g.lease != 0 && now.After(g.renewAt) {
+		g.renewAt = now.Add(registerRetryPeriod)
 		if err := g.store.Renew(ctx, g.lease); err != nil {
 			g.lease = 0
 			g.log.Event("leaseLost").Err(err).End()
 			return
 		}
-		g.renew = now.Add(renewPeriod)
+		g.renewAt = now.Add(renewPeriod)
 	}
 }
 
-// missing returns the registrations that are to be written at now.
-func (g *Registrar) missing(s *State, now time.Time) []carawaycart.Registration {
-	g.asked = slices.DeleteFunc(g.asked, func(r carawaycart.Registration) bool { return slices.Contains(s.Instances, r) })
-	var missing []carawaycart.Registration
-	if !slices.Contains(s.Instances, g.own) && !now.Before(g.retry) {
-		missing = append(missing, g.own)
+// due returns the entries to write at now, and discards requests for entries that
+// are listed already.
+func (g *Registrar) due(state *State, now time.Time) []carawaycart.Registration {
+	g.requested = slices.DeleteFunc(g.requested, func(r carawaycart.Registration) bool { return slices.Contains(state.Instances, r) })
+	var due []carawaycart.Registration
+	if !slices.Contains(state.Instances, g.own) && !now.Before(g.retryAt) {
+		due = append(due, g.own)
 	}
-	if len(g.asked) > 0 && !now.Before(g.gather) {
-		missing = append(missing, g.asked...)
+	if len(g.requested) > 0 && !now.Before(g.gatherUntil) {
+		due = append(due, g.requested...)
 	}
-	return missing
+	return due
 }
 
-// register writes entries under the instance's lease, all in as few calls as
-// they fit.
+// register writes entries under the instance's lease in as few calls as possible.
+// It obtains a lease if there is none, and drops the lease if a write fails.
 func (g *Registrar) register(ctx context.Context, entries []carawaycart.Registration, now time.Time) error {
 	items := make([]carawaycart.StoreItem, 0, len(entries))
 	for _, r := range entries {
@@ -126,15 +139,15 @@
 		items = append(items, carawaycart.StoreItem{Key: platform.InstanceKey(r.ID), Value: value})
 	}
 	if g.lease == 0 {
-		lease, err := g.store.Grant(ctx, leaseLength)
+		lease, err := g.store.Grant(ctx, leaseTTL)
 		if err != nil {
 			return err
 		}
-		g.lease, g.renew = lease, now.Add(renewPeriod)
+		g.lease, g.renewAt = lease, now.Add(renewPeriod)
 	}
 	for chunk := range slices.Chunk(items, platform.MaxWrites) {
 		if err := g.store.PutAll(ctx, chunk, g.lease); err != nil {
-			g.lease = 0 // it may have ended
+			g.lease = 0 // the lease may have expired
 			return err
 		}
 	}
--- a/internal/edge/explainer.go
+++ b/internal/edge/status.go
@@ -12,11 +12,12 @@
 	"carawaycart/io/operator"
 )
 
-// staleLimit is the age of the view above which operators are alarmed: a change
-// must be in force within 3 s.
-const staleLimit = 3 * time.Second
+// maxViewAge is the age of the view above which the status has an alarm. Changes
+// must take effect within 3 s.
+const maxViewAge = 3 * time.Second
 
-// Status returns the status of the instance.
+// Status returns the state of the instance and its alarms, the registered
+// instances, and the endpoints.
 func (e *Edge) Status() operator.Status {
 	now := e.clock.Now()
 	view := e.view.State()
@@ -53,7 +54,7 @@
 	if e.Isolated() {
 		alarms = append(alarms, "neither an endpoint nor the store can be reached; other zones are sent the packets")
 	}
-	if age := now.Sub(view.Confirmed); age > staleLimit {
+	if age := now.Sub(view.Confirmed); age > maxViewAge {
 		alarms = append(alarms, fmt.Sprintf("the view is %v old", age.Round(time.Millisecond)))
 	}
 	for _, v := range e.router.Endpoints(now) {
@@ -65,7 +66,7 @@
 }
 
 func endpointStatus(v *steer.EndpointView) operator.EndpointStatus {
-	status := operator.EndpointStatus{ID: v.Lifetime.ID, Service: v.Lifetime.Service, Zone: v.Lifetime.Zone, State: stateOf(v)}
+	status := operator.EndpointStatus{ID: v.Lifetime.ID, Service: v.Lifetime.Service, Zone: v.Lifetime.Zone, State: endpointState(v)}
 	switch {
 	case v.Presence == directory.Ended:
 		status.Mark = carawaycart.MarkEnded
@@ -75,7 +76,7 @@
 	return status
 }
 
-func stateOf(v *steer.EndpointView) string {
+func endpointState(v *steer.EndpointView) string {
 	switch {
 	case v.Presence == directory.Lapsed:
 		return "lapsed"
@@ -91,27 +92,29 @@
 	return carawaycart.EndpointOpen.String()
 }
 
-// ExplainFlow returns where packets of key go; the error is NotFound.
+// ExplainFlow returns the endpoint that packets of the flow key are sent to, and
+// why. It returns a NotFound error if the flow's service address has no route.
 func (e *Edge) ExplainFlow(key carawaycart.FlowKey) (operator.FlowExplanation, error) {
 	now := e.clock.Now()
-	f := e.router.Flow(&key, now)
-	x := operator.FlowExplanation{Revision: carawaycart.Revision(e.view.State().At), DecidedBy: e.settings.Load().ID}
+	flow := e.router.Flow(&key, now)
+	explanation := operator.FlowExplanation{Revision: carawaycart.Revision(e.view.State().At), DecidedBy: e.settings.Load().ID}
 	switch {
-	case !f.Routed:
-		return x, errors.NotFoundf("route for %s", key.Service)
-	case !f.Seen:
-		x.Rule = "by the token of each packet; none of this flow passed here lately"
-		return x, nil
+	case !flow.Routed:
+		return explanation, errors.NotFoundf("route for %s", key.Service)
+	case !flow.Seen:
+		explanation.Rule = "by the token of each packet; this instance has seen no recent packet of the flow"
+		return explanation, nil
 	}
-	l := &f.Endpoint.Lifetime
-	x.Service, x.Current = l.Service, l.ID
-	x.OpenedAt = time.Now().Add(f.Opened.Sub(now))
-	x.Rule = fmt.Sprintf("by token %d; endpoint %s, first packet sent to %d endpoints, waiting for an answer: %t",
-		f.Endpoint.Token, stateOf(&f.Endpoint), f.Tried, f.Waiting)
-	return x, nil
+	lifetime := &flow.Endpoint.Lifetime
+	explanation.Service, explanation.Current = lifetime.Service, lifetime.ID
+	explanation.OpenedAt = time.Now().Add(flow.Opened.Sub(now))
+	explanation.Rule = fmt.Sprintf("by token %d; endpoint %s, first packet sent to %d endpoints, waiting for an answer: %t",
+		flow.Endpoint.Token, endpointState(&flow.Endpoint), flow.Tried, flow.Waiting)
+	return explanation, nil
 }
 
-// ExplainKey returns that nothing is known: requests pass unread.
+// ExplainKey returns an empty explanation, since an Edge forwards packets without
+// reading requests and has no record of keyed requests.
 func (e *Edge) ExplainKey(key carawaycart.IdempotencyKey) operator.KeyExplanation {
 	return operator.KeyExplanation{Key: key}
 }
--- /dev/null
+++ b/internal/edge/translator.go
@@ -0,0 +1,59 @@
+package edge
+
+import (
+	"net/netip"
+	"sync/atomic"
+	"time"
+
+	"carawaycart"
+	"carawaycart/platform"
+)
+
+// translator rewrites datagrams of the fabric according to the decisions of a
+// router. It implements fabric.Translator.
+type translator struct {
+	router     carawaycart.Router
+	clock      carawaycart.Clock
+	counters   *Counters
+	resetPort  uint16        // fabric port of callers, to which resets are sent
+	lastPacket *atomic.Int64 // time of the last packet, in Unix nanoseconds of clock
+	hedger     *Hedger
+	packet     carawaycart.Packet
+}
+
+// Headroom returns the bytes needed before a packet for the endpoint's number.
+func (*translator) Headroom() int { return platform.NumberBytes }
+
+// MaxDatagram returns the length of the longest packet plus one byte, so that
+// longer packets can be detected.
+func (*translator) MaxDatagram() int { return platform.MaxPacket + 1 }
+
+// Translate returns the packet to send and its destination: the packet in b for an
+// endpoint, or a reset for the caller. It returns false if nothing is to be sent.
+func (t *translator) Translate(b []byte) ([]byte, netip.AddrPort, bool) {
+	began := time.Now()
+	p, data := &t.packet, b[platform.NumberBytes:]
+	if fault := platform.DecodePacket(data, p); fault != carawaycart.FaultNone {
+		t.counters.Fault(fault)
+		return nil, netip.AddrPort{}, false
+	}
+	now := t.clock.Now()
+	t.lastPacket.Store(now.UnixNano())
+	d := t.router.Decide(p, now)
+	t.counters.Decided(&d, time.Since(began))
+	switch d.Verdict {
+	case carawaycart.VerdictForward:
+		if p.Kind == carawaycart.PacketFirst {
+			platform.SetToken(data, d.Token)
+		}
+		platform.PutNumber(b, d.Number)
+		if p.Kind == carawaycart.PacketFirst {
+			t.hedger.Schedule(&p.Key, b, d.Zone, now)
+		}
+		return b, d.Address, true
+	case carawaycart.VerdictReset:
+		n := platform.PutReset(data, p)
+		return data[:n], netip.AddrPortFrom(p.Key.Caller.Addr(), t.resetPort), true
+	}
+	return nil, netip.AddrPort{}, false
+}
--- a/internal/edge/view.go
+++ b/internal/edge/view.go
@@ -12,12 +12,13 @@
 	"carawaycart/platform"
 )
 
-// gapLimit is how long the store may go unread before an entry that went
-// missing meanwhile may only have lapsed; reads are about a second apart.
-const gapLimit = 2500 * time.Millisecond
+// maxReadGap is the longest time between reads of the store that does not count as
+// a store failure. The absence of an entry after a failure does not prove that its
+// lifetime has ended. Reads are about a second apart.
+const maxReadGap = 2500 * time.Millisecond
 
-// View is the instance's copy of the platform's store, and the table of the
-// router that follows from it; it is safe for concurrent use.
+// View is the instance's replica of the platform's store. It rebuilds the router's
+// table when the replica changes. It is safe for concurrent use.
 type View struct {
 	self   carawaycart.InstanceID
 	limits steer.Limits
@@ -25,26 +26,27 @@
 	clock  carawaycart.Clock
 	log    *eventlog.Log
 
-	mu        sync.Mutex
-	directory *directory.Directory
-	roster    *directory.Roster
-	contents  directory.Contents
-	own       *config.Configuration // that operators set by the product's commands
-	confirmed time.Time             // when the store was read last, as far as is known here
-	trouble   time.Time             // when the store was last known to be in trouble
-	moved     chan struct{}
+	mu             sync.Mutex
+	directory      *directory.Directory
+	roster         *directory.Roster // presence of each lifetime
+	contents       directory.Contents
+	operatorConfig *config.Configuration // set by operators with the product's commands
+	confirmed      time.Time             // start of the last known read of the store
+	storeFailure   time.Time             // time of the last known store failure
+	renewed        chan struct{}
 }
 
-// NewView returns an empty view whose tables go to r.
+// NewView returns an empty view for instance self that sets the tables of r.
 func NewView(self carawaycart.InstanceID, l steer.Limits, r *steer.Router, k carawaycart.Clock, log *eventlog.Log) *View {
 	return &View{
 		self: self, limits: l, router: r, clock: k, log: log,
-		directory: directory.New(platform.Decode), roster: directory.NewRoster(), moved: make(chan struct{}),
-		own: config.New(),
+		directory: directory.New(platform.Decode), roster: directory.NewRoster(), renewed: make(chan struct{}),
+		operatorConfig: config.New(),
 	}
 }
 
-// SetLimits makes the tables that follow obey l.
+// SetLimits sets the limits of the router's table, and rebuilds the table if they
+// changed.
 func (v *View) SetLimits(l steer.Limits) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -57,13 +59,13 @@
 	}
 }
 
-// State is what the view is at one moment.
+// State is the state of a view at one moment.
 type State struct {
-	At        carawaycart.StoreRevision
-	Confirmed time.Time // zero if the store has not been read
-	Trouble   time.Time
-	Instances []carawaycart.Registration
-	Moved     <-chan struct{} // closed when a later read of the store becomes known
+	At           carawaycart.StoreRevision  // revision up to which the view is complete
+	Confirmed    time.Time                  // start of the last known read of the store; zero if none
+	StoreFailure time.Time                  // last known store failure; zero if none
+	Instances    []carawaycart.Registration // instances listed in the store
+	Renewed      <-chan struct{}            // closed when Confirmed advances
 }
 
 // State returns the state of the view.
@@ -71,109 +73,113 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return State{
-		At: v.directory.At(), Confirmed: v.confirmed, Trouble: v.trouble,
-		Instances: v.contents.Instances, Moved: v.moved,
+		At: v.directory.At(), Confirmed: v.confirmed, StoreFailure: v.storeFailure,
+		Instances: v.contents.Instances, Renewed: v.renewed,
 	}
 }
 
-// TakeRead takes in a read of the store that began at began, and returns what
-// it changed.
-func (v *View) TakeRead(r platform.Read, began time.Time) directory.Difference {
+// ApplyRead applies a read of the store that began at began, and returns the
+// resulting changes.
+func (v *View) ApplyRead(read platform.Read, began time.Time) directory.Difference {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	change := v.directory.Replace(r.Items, r.At)
-	if r.At >= v.directory.At() {
-		v.confirm(began, "store", !change.Empty())
+	delta := v.directory.Replace(read.Items, read.At)
+	if read.At >= v.directory.At() {
+		v.confirm(began, "store", !delta.Empty())
 	}
-	return change
+	return delta
 }
 
-// TakeNews takes in a difference that peer from told of, for a read of the store
-// that began at began. It reports whether the view is now whole up to there.
-func (v *View) TakeNews(change directory.Difference, from string, began time.Time) bool {
+// ApplyUpdate applies a delta received from the peer from, for a read of the store
+// that began at began. It returns false if the delta's base is later than the view,
+// so that a snapshot is needed.
+func (v *View) ApplyUpdate(delta directory.Difference, from string, began time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	before := v.directory.At()
-	if !v.directory.Apply(change) {
+	if !v.directory.Apply(delta) {
 		return false
 	}
-	if change.To >= v.directory.At() {
-		v.confirm(began, from, change.To > before && !change.Empty())
+	if delta.To >= v.directory.At() {
+		v.confirm(began, from, delta.To > before && !delta.Empty())
 	}
 	return true
 }
 
-// TakeCopy takes in the copy of peer from, for a read that began at began.
-func (v *View) TakeCopy(c directory.Copy, from string, began time.Time) {
+// ApplySnapshot applies a snapshot received from the peer from, for a read of the
+// store that began at began.
+func (v *View) ApplySnapshot(snapshot directory.Copy, from string, began time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	remembered := v.roster.Remember(c.Ended, v.clock.Now())
-	changed := v.directory.Adopt(c) || remembered
-	if c.At >= v.directory.At() {
+	endedAdded := v.roster.Remember(snapshot.Ended, v.clock.Now())
+	changed := v.directory.Adopt(snapshot) || endedAdded
+	if snapshot.At >= v.directory.At() {
 		v.confirm(began, from, changed)
-	} else if remembered {
+	} else if endedAdded {
 		v.rebuild(from, v.clock.Now())
 	}
 }
 
-// confirm notes that the directory was whole when the store was read at began.
+// confirm records that the directory is complete up to a read of the store that
+// began at began, and rebuilds the table if it changed or entries have lapsed.
 func (v *View) confirm(began time.Time, source string, changed bool) {
 	now := v.clock.Now()
-	if began.Sub(v.confirmed) > gapLimit && !v.confirmed.IsZero() {
-		v.noteTrouble(now)
+	if began.Sub(v.confirmed) > maxReadGap && !v.confirmed.IsZero() {
+		v.recordStoreFailure(now)
 	}
 	if began.After(v.confirmed) {
 		v.confirmed = began
-		close(v.moved)
-		v.moved = make(chan struct{})
+		close(v.renewed)
+		v.renewed = make(chan struct{})
 	}
 	if changed || v.roster.Lapsing() {
 		v.rebuild(source, now)
 	}
 }
 
-// rebuild makes the router decide by the directory as it is at now.
+// rebuild replaces the router's table with one for the directory as of now.
 func (v *View) rebuild(source string, now time.Time) {
 	v.contents = v.directory.Contents()
-	own, err := operatorsConfig(v.directory, v.clock)
+	operatorConfig, err := loadOperatorConfig(v.directory, v.clock)
 	if err != nil {
-		// The last good one stays in force.
+		// The last valid configuration stays in effect.
 		v.log.Event("profilesRefused").Err(err).End()
-	} else if own.Revision >= v.own.Revision {
-		v.own = own
+	} else if operatorConfig.Revision >= v.operatorConfig.Revision {
+		v.operatorConfig = operatorConfig
 	}
-	profiles := applyOperators(&v.contents, v.own)
+	profiles := applyOperatorConfig(&v.contents, v.operatorConfig)
 	v.roster.Update(&v.contents, now)
-	t := steer.NewTable(&steer.Input{
+	table := steer.NewTable(&steer.Input{
 		Contents: v.contents, Revision: v.directory.At(), Roster: v.roster, Self: v.self, Limits: v.limits, Profiles: profiles,
 	}, v.router.Table(), now)
-	v.router.SetTable(t)
-	v.log.Event("view").Int("revision", int64(v.directory.At())).Int("config", int64(t.Version)).
+	v.router.SetTable(table)
+	v.log.Event("view").Int("revision", int64(v.directory.At())).Int("config", int64(table.Version)).
 		Int("lifetimes", int64(len(v.contents.Lifetimes))).Int("instances", int64(len(v.contents.Instances))).
-		Int("zonesOut", int64(len(v.contents.ZonesOut))).Int("refused", int64(v.directory.Refused())).Int("profiles", int64(v.own.Revision)).
+		Int("zonesOut", int64(len(v.contents.ZonesOut))).Int("refused", int64(v.directory.Refused())).Int("profiles", int64(v.operatorConfig.Revision)).
 		Text("source", source).Millis("ageMs", now.Sub(v.confirmed)).End()
 }
 
-// Trouble notes that the store was in trouble at when.
-func (v *View) Trouble(when time.Time) {
+// RecordStoreFailure records that the store failed to answer, or had not been read
+// for maxReadGap, at when.
+func (v *View) RecordStoreFailure(when time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.noteTrouble(when)
+	v.recordStoreFailure(when)
 }
 
-func (v *View) noteTrouble(when time.Time) {
-	if when.After(v.trouble) {
-		v.trouble = when
+func (v *View) recordStoreFailure(when time.Time) {
+	if when.After(v.storeFailure) {
+		v.storeFailure = when
 		v.roster.Trouble(when)
 	}
 }
 
-// Since returns what a peer that is whole at revision r lacks, and when the
-// store was read for it.
-func (v *View) Since(r carawaycart.StoreRevision) (directory.Copy, time.Time) {
+// Since returns a snapshot for a peer that is complete up to the given revision, and
+// the start of the read of the store that the snapshot reflects.
+func (v *View) Since(revision carawaycart.StoreRevision) (directory.Copy, time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	c := v.directory.Since(r)
-	c.Ended = v.roster.Ended()
-	return c, v.confirmed
+	snapshot := v.directory.Since(revision)
+	snapshot.Ended = v.roster.Ended()
+	return snapshot, v.confirmed
 }
