--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -44,14 +44,14 @@
 	Board    *board.Board
 	Counters *counters.Counters
 
-	controllers Controllers
-	sockets     *Sockets
-	client      *peer.Client
-	endpoints   *endpoint.Client
-	peers       *peer.Server
-	ports       []*fabric.Port
-	callers     *caller.Server
-	operators   *operator.Server
+	controllers    Controllers
+	sockets        *Sockets
+	peerClient     *peer.Client
+	endpointClient *endpoint.Client
+	peerServer     *peer.Server
+	fabricPorts    []*fabric.Port
+	callerServer   *caller.Server
+	operatorServer *operator.Server
 }
 
 // newMember returns the initial member entry of the instance. Its incarnation
@@ -78,18 +78,19 @@
 func newBalancer(s settings.Settings, o *Sockets, b *board.Board, _ *member.Table, c *counters.Counters,
 	p *peer.Client, e *endpoint.Client, controllers Controllers,
 ) (*Balancer, error) {
-	instance := &Balancer{Board: b, Counters: c, controllers: controllers, sockets: o, client: p, endpoints: e}
+	instance := &Balancer{Board: b, Counters: c, controllers: controllers, sockets: o, peerClient: p, endpointClient: e}
 	server, err := peer.NewServer(o.Peer, controllers.PeerHandler, c)
 	if err != nil {
 		return nil, err
 	}
-	instance.peers = server
-	instance.ports = []*fabric.Port{
+	instance.peerServer = server
+	// Packets that arrive at the relay socket were relayed by peers.
+	instance.fabricPorts = []*fabric.Port{
 		fabric.NewPort(o.Fabric, false, controllers.PacketHandler, s.FabricThreads),
 		fabric.NewPort(o.Relay, true, controllers.PacketHandler, s.FabricThreads),
 	}
-	instance.callers = caller.NewServer(o.Request, controllers.Dispatcher)
-	instance.operators = operator.NewServer(o.Operator, controllers.Explainer, c.Registry)
+	instance.callerServer = caller.NewServer(o.Request, controllers.Dispatcher)
+	instance.operatorServer = operator.NewServer(o.Operator, controllers.Explainer, c.Registry)
 	klog.InfoS("started", "instance", s.ID, "zone", s.Zone, "fabric", instance.FabricAddress(), "request", instance.RequestAddress(),
 		"peer", instance.PeerAddress(), "operator", instance.OperatorAddress())
 	return instance, nil
@@ -127,7 +128,7 @@
 		defer close(left)
 		b.controllers.Membership.Leave(ctx)
 	}()
-	err := b.callers.Stop(ctx)
+	err := b.callerServer.Stop(ctx)
 	<-left
 	b.close()
 	return errors.Annotatef(err, "stop instance %s", b.Board.Self)
@@ -136,10 +137,11 @@
 // Kill closes the instance immediately, as a crash would.
 func (b *Balancer) Kill() {
 	b.sockets.Close()
-	b.callers.Close()
+	b.callerServer.Close()
 	b.close()
 }
 
+// close closes all but the server for callers and its socket.
 func (b *Balancer) close() {
 	b.controllers.Membership.Close()
 	b.controllers.EndpointMonitor.Close()
@@ -149,14 +151,15 @@
 	b.controllers.Claimer.Close()
 	b.controllers.Permits.Close()
 	b.controllers.Disseminator.Close()
-	for _, p := range b.ports {
+	for _, p := range b.fabricPorts {
 		_ = p.Close()
 	}
-	b.peers.Close()
-	b.operators.Close()
-	b.client.Close()
-	b.endpoints.Close()
+	b.peerServer.Close()
+	b.operatorServer.Close()
+	b.peerClient.Close()
+	b.endpointClient.Close()
 }
 
-// StopLimit is the time limit of a graceful shutdown.
+// StopLimit is the time that callers of Stop should allow for a graceful
+// shutdown.
 const StopLimit = 30 * time.Second
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -36,6 +36,8 @@
 	handler  atomic.Pointer[http.HandlerFunc]
 }
 
+// newFixture returns a running instance that is ready and whose endpoint is open,
+// with its own store and instance list.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	r := &fixture{t: t}
@@ -98,7 +100,7 @@
 	deadline := time.Now().Add(readyTimeout)
 	for !r.instance.Ready() || r.instance.Board.Entry("e1").Status().State != carawaycart.EndpointOpen {
 		if time.Now().After(deadline) {
-			r.t.Fatal("the instance did not become ready")
+			r.t.Fatal("the instance did not become ready with an open endpoint in time")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -113,7 +115,8 @@
 	r.handler.Store(&counted)
 }
 
-// send sends a request and returns its outcome, cause and body.
+// send sends a request and returns its outcome, cause and body. The outcome is
+// "broken" if the body is truncated.
 func (r *fixture) send(method, key, body string) (outcome, cause, answer string) {
 	r.t.Helper()
 	q, err := http.NewRequest(method, "http://"+r.instance.RequestAddress().String()+"/order", strings.NewReader(body))
@@ -138,6 +141,8 @@
 
 func abortConnection(_ http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }
 
+// Guards against keyed requests that run twice, and against answers that state a
+// wrong outcome after the endpoint sheds, aborts or truncates.
 func TestRequests(t *testing.T) {
 	r := newFixture(t)
 
@@ -186,7 +191,7 @@
 		if outcome, _, _ := r.send("POST", "shed", "a"); outcome != "notRun" {
 			t.Errorf("got %s, want notRun", outcome)
 		}
-		time.Sleep(1100 * time.Millisecond) // an endpoint that shed a request gets none for a while
+		time.Sleep(1100 * time.Millisecond) // an endpoint that shed a request gets none for 1 s
 		r.setHandler(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "confirmed") })
 		if outcome, cause, _ := r.send("POST", "shed", "a"); outcome != "answered" {
 			t.Errorf("repeat: got %s for %s, want answered", outcome, cause)
@@ -218,6 +223,8 @@
 	})
 }
 
+// Guards against requests that outlive their callers, because a deadline or a
+// cancellation does not reach the endpoint or a stalled body is not aborted.
 func TestDeadlinesAndCancellation(t *testing.T) {
 	r := newFixture(t)
 	url := "http://" + r.instance.RequestAddress().String() + "/order"
--- a/internal/balancer/sockets.go
+++ b/internal/balancer/sockets.go
@@ -18,11 +18,11 @@
 
 // Sockets are the open sockets of an instance.
 type Sockets struct {
-	Fabric   *net.UDPConn
-	Relay    *net.UDPConn
-	Peer     net.Listener
-	Request  net.Listener
-	Operator net.Listener
+	Fabric   *net.UDPConn // packets from the fabric
+	Relay    *net.UDPConn // packets relayed by peers, on the port of Peer
+	Peer     net.Listener // calls of peers
+	Request  net.Listener // requests of callers
+	Operator net.Listener // HTTP requests of operators
 }
 
 // Open opens the sockets that s names. Port zero selects any free port; the
