--- a/io/fabric/bench_test.go
+++ b/io/fabric/bench_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	benchBatch   = 32
-	benchBuffer  = 2048
-	benchSockets = 8 << 20 // bytes of a socket's buffer
-	window       = 256     // datagrams on their way, few enough that none is lost
-	lossTimeout  = time.Second
+	benchBatchSize    = 32
+	benchBufferBytes  = 2048
+	socketBufferBytes = 8 << 20
+	maxInFlight       = 256 // datagrams in flight, few enough that none is dropped
+	lossTimeout       = time.Second
 )
 
-// sendOn is a Handler that sends every packet to one address.
-type sendOn struct{ address netip.AddrPort }
+// staticHandler is a Handler that forwards every packet to one address.
+type staticHandler struct{ address netip.AddrPort }
 
-func (s sendOn) Handle(*carawaycart.Packet) (netip.AddrPort, bool) { return s.address, true }
-func (s sendOn) Fault(fabric.Fault)                                {}
+func (s staticHandler) Handle(*carawaycart.Packet) (netip.AddrPort, bool) { return s.address, true }
+func (s staticHandler) Fault(fabric.Fault)                                {}
 
 func listen(b *testing.B) *net.UDPConn {
 	b.Helper()
@@ -34,22 +34,23 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	_ = conn.SetReadBuffer(benchSockets)
-	_ = conn.SetWriteBuffer(benchSockets)
+	_ = conn.SetReadBuffer(socketBufferBytes)
+	_ = conn.SetWriteBuffer(socketBufferBytes)
 	b.Cleanup(func() { _ = conn.Close() })
 	return conn
 }
 
-func addressOf(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
+func localAddr(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// bareRelay sends batches on without looking into them.
-func bareRelay(conn *net.UDPConn, to *net.UDPAddr) {
+// relayUndecoded forwards datagrams to one address in batches without decoding
+// them, until conn is closed.
+func relayUndecoded(conn *net.UDPConn, to *net.UDPAddr) {
 	packets := ipv4.NewPacketConn(conn)
-	in := make([]ipv4.Message, benchBatch)
+	in := make([]ipv4.Message, benchBatchSize)
 	for i := range in {
-		in[i].Buffers = [][]byte{make([]byte, benchBuffer)}
+		in[i].Buffers = [][]byte{make([]byte, benchBufferBytes)}
 	}
-	out := make([]ipv4.Message, benchBatch)
+	out := make([]ipv4.Message, benchBatchSize)
 	for {
 		n, err := packets.ReadBatch(in, 0)
 		if errors.Is(err, net.ErrClosed) {
@@ -64,23 +65,24 @@
 	}
 }
 
-// pump passes datagrams by way of relay to sink and counts those that arrive.
-func pump(b *testing.B, relay netip.AddrPort, sink *net.UDPConn) {
+// measureThroughput sends datagrams through relay to sink until b.N have arrived
+// and reports the throughput.
+func measureThroughput(b *testing.B, relay netip.AddrPort, sink *net.UDPConn) {
 	source := listen(b)
 	datagram := tcpPacket(b, func(*layers.IPv4, *layers.TCP) {})
-	messages := make([]ipv4.Message, benchBatch)
+	messages := make([]ipv4.Message, benchBatchSize)
 	for i := range messages {
 		messages[i] = ipv4.Message{Buffers: [][]byte{datagram}, Addr: net.UDPAddrFromAddrPort(relay)}
 	}
-	arrived := make([]ipv4.Message, benchBatch)
+	arrived := make([]ipv4.Message, benchBatchSize)
 	for i := range arrived {
-		arrived[i].Buffers = [][]byte{make([]byte, benchBuffer)}
+		arrived[i].Buffers = [][]byte{make([]byte, benchBufferBytes)}
 	}
 	out, in := ipv4.NewPacketConn(source), ipv4.NewPacketConn(sink)
 	sent, received := 0, 0
 	b.ResetTimer()
 	for received < b.N {
-		for sent-received < window && sent < b.N+window {
+		for sent-received < maxInFlight && sent < b.N+maxInFlight {
 			n, err := out.WriteBatch(messages, 0)
 			if err != nil {
 				b.Fatal(err)
@@ -90,24 +92,25 @@
 		_ = sink.SetReadDeadline(time.Now().Add(lossTimeout))
 		n, err := in.ReadBatch(arrived, 0)
 		if err != nil {
-			b.Fatalf("after %d of %d: %v", received, sent, err)
+			b.Fatalf("received %d of %d datagrams: %v", received, sent, err)
 		}
 		received += n
 	}
 	b.ReportMetric(float64(received)/b.Elapsed().Seconds(), "packets/s")
 }
 
-// BenchmarkForward compares a port with a bare batched relay, in the same run.
+// BenchmarkForward compares a Port with a batched relay that does not decode
+// datagrams.
 func BenchmarkForward(b *testing.B) {
 	b.Run("bare", func(b *testing.B) {
 		relay, sink := listen(b), listen(b)
-		go bareRelay(relay, net.UDPAddrFromAddrPort(addressOf(sink)))
-		pump(b, addressOf(relay), sink)
+		go relayUndecoded(relay, net.UDPAddrFromAddrPort(localAddr(sink)))
+		measureThroughput(b, localAddr(relay), sink)
 	})
 	b.Run("port", func(b *testing.B) {
 		relay, sink := listen(b), listen(b)
-		p := fabric.NewPort(relay, false, sendOn{addressOf(sink)}, 1)
+		p := fabric.NewPort(relay, false, staticHandler{localAddr(sink)}, 1)
 		b.Cleanup(func() { _ = p.Close() })
-		pump(b, addressOf(relay), sink)
+		measureThroughput(b, localAddr(relay), sink)
 	})
 }
--- a/io/fabric/decode.go
+++ b/io/fabric/decode.go
@@ -10,14 +10,14 @@
 	"carawaycart"
 )
 
-// Fault tells why a datagram could not be decoded.
+// Fault is the reason why a datagram could not be decoded.
 type Fault uint8
 
 // The faults of a datagram.
 const (
 	FaultNone      Fault = iota
-	FaultGeneve          // truncated or foreign Geneve header
-	FaultOption          // an option that must be understood is not
+	FaultGeneve          // truncated or unsupported Geneve header
+	FaultOption          // unknown critical Geneve option
 	FaultIP              // truncated or malformed IP header
 	FaultFragment        // fragment of an IP packet
 	FaultTransport       // truncated or malformed TCP or UDP header
@@ -39,18 +39,18 @@
 }
 
 const (
-	geneveHeaderBytes = 8
-	geneveVersionMask = 0xc0
-	geneveControlBit  = 0x80
-	geneveCriticalBit = 0x40
-	moreFragments     = 0x2000
-	fragmentOffset    = 0x1fff
-	ipv4HeaderBytes   = 20
-	tcpHeaderBytes    = 20
-	udpHeaderBytes    = 8
+	geneveHeaderBytes  = 8
+	geneveVersionMask  = 0xc0
+	geneveControlBit   = 0x80
+	geneveCriticalBit  = 0x40
+	moreFragmentsFlag  = 0x2000
+	fragmentOffsetMask = 0x1fff
+	ipv4HeaderBytes    = 20
+	tcpHeaderBytes     = 20
+	udpHeaderBytes     = 8
 )
 
-// Decoder decodes datagrams; it is not safe for concurrent use.
+// Decoder decodes Geneve datagrams. It is not safe for concurrent use.
 type Decoder struct {
 	geneve layers.Geneve
 	ipv4   layers.IPv4
@@ -59,11 +59,12 @@
 	udp    layers.UDP
 }
 
-// NewDecoder returns a decoder.
+// NewDecoder returns a Decoder.
 func NewDecoder() *Decoder { return &Decoder{} }
 
-// Decode decodes a Geneve datagram into p, all of whose fields but Relayed it
-// sets. On a fault p is undefined.
+// Decode decodes a Geneve datagram into p and sets every field except Relayed.
+// It returns FaultNone on success; on any other fault the content of p is
+// undefined.
 func (d *Decoder) Decode(datagram []byte, p *carawaycart.Packet) Fault {
 	if len(datagram) < geneveHeaderBytes || datagram[0]&geneveVersionMask != 0 || datagram[1]&geneveControlBit != 0 {
 		return FaultGeneve
@@ -91,7 +92,7 @@
 	if err := d.ipv4.DecodeFromBytes(data, gopacket.NilDecodeFeedback); err != nil || int(d.ipv4.Length) > len(data) {
 		return FaultIP
 	}
-	if field := uint16(data[6])<<8 | uint16(data[7]); field&(moreFragments|fragmentOffset) != 0 {
+	if field := uint16(data[6])<<8 | uint16(data[7]); field&(moreFragmentsFlag|fragmentOffsetMask) != 0 {
 		return FaultFragment
 	}
 	src, _ := netip.AddrFromSlice(d.ipv4.SrcIP)
@@ -142,8 +143,8 @@
 	}
 }
 
-// Encode returns the Geneve datagram with the given inner packet, network id
-// and inner protocol IPv4; stand-ins and tests use it.
+// Encode returns a Geneve datagram with the given inner IPv4 packet and virtual
+// network identifier. Only simulators and tests use it.
 func Encode(inner []byte, network uint32) ([]byte, error) {
 	b := gopacket.NewSerializeBuffer()
 	g := &layers.Geneve{Protocol: layers.EthernetTypeIPv4, VNI: network}
--- a/io/fabric/decode_test.go
+++ b/io/fabric/decode_test.go
@@ -12,14 +12,14 @@
 	"carawaycart/io/fabric"
 )
 
-func tcpPacket(tb testing.TB, change func(*layers.IPv4, *layers.TCP)) []byte {
+func tcpPacket(tb testing.TB, modify func(*layers.IPv4, *layers.TCP)) []byte {
 	tb.Helper()
 	ip := &layers.IPv4{
 		Version: 4, TTL: 64, Protocol: layers.IPProtocolTCP,
 		SrcIP: []byte{198, 51, 100, 1}, DstIP: []byte{192, 0, 2, 1},
 	}
 	tcp := &layers.TCP{SrcPort: 40000, DstPort: 443, ACK: true}
-	change(ip, tcp)
+	modify(ip, tcp)
 	b := gopacket.NewSerializeBuffer()
 	if err := gopacket.SerializeLayers(b, gopacket.SerializeOptions{FixLengths: true}, ip, tcp, gopacket.Payload("data")); err != nil {
 		tb.Fatal(err)
@@ -34,7 +34,7 @@
 func TestDecodeKinds(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		change func(*layers.IPv4, *layers.TCP)
+		modify func(*layers.IPv4, *layers.TCP)
 		want   carawaycart.PacketKind
 	}{
 		{"data", func(*layers.IPv4, *layers.TCP) {}, carawaycart.PacketMiddle},
@@ -45,8 +45,8 @@
 		{"RST", func(_ *layers.IPv4, t *layers.TCP) { t.RST = true }, carawaycart.PacketLast},
 	} {
 		var p carawaycart.Packet
-		if fault := fabric.NewDecoder().Decode(tcpPacket(t, test.change), &p); fault != fabric.FaultNone {
-			t.Errorf("%s: got fault %s", test.name, fault)
+		if fault := fabric.NewDecoder().Decode(tcpPacket(t, test.modify), &p); fault != fabric.FaultNone {
+			t.Errorf("%s: got fault %s, want none", test.name, fault)
 		}
 		want := carawaycart.FlowKey{
 			Caller: netip.MustParseAddrPort("198.51.100.1:40000"), Service: netip.MustParseAddrPort("192.0.2.1:443"),
@@ -59,9 +59,9 @@
 }
 
 func TestDecodeFaults(t *testing.T) {
-	good := func() []byte { return tcpPacket(t, func(*layers.IPv4, *layers.TCP) {}) }
-	edit := func(offset int, value byte) []byte {
-		d := good()
+	valid := func() []byte { return tcpPacket(t, func(*layers.IPv4, *layers.TCP) {}) }
+	withByte := func(offset int, value byte) []byte {
+		d := valid()
 		d[offset] = value
 		return d
 	}
@@ -72,21 +72,21 @@
 		want     fabric.Fault
 	}{
 		{"empty", nil, fabric.FaultGeneve},
-		{"truncated Geneve", good()[:5], fabric.FaultGeneve},
-		{"other Geneve version", edit(0, 0x40), fabric.FaultGeneve},
-		{"control packet", edit(1, 0x80), fabric.FaultGeneve},
-		{"critical option", edit(1, 0x40), fabric.FaultOption},
-		{"options beyond the end", edit(0, 0x3f), fabric.FaultGeneve},
-		{"inner Ethernet", edit(2, 0x65), fabric.FaultGeneve},
-		{"no inner packet", good()[:8], fabric.FaultIP},
-		{"inner version 6 in IPv4", edit(ip, 0x65), fabric.FaultIP},
-		{"absurd header length", edit(ip, 0x41), fabric.FaultIP},
-		{"absurd total length", edit(ip+2, 0xff), fabric.FaultIP},
-		{"first fragment", edit(ip+6, 0x20), fabric.FaultFragment},
-		{"later fragment", edit(ip+7, 0x01), fabric.FaultFragment},
-		{"ICMP", edit(ip+9, 1), fabric.FaultProtocol},
-		{"truncated TCP", good()[:ip+20+10], fabric.FaultIP},
-		{"absurd TCP header length", edit(ip+20+12, 0xf0), fabric.FaultTransport},
+		{"truncated Geneve", valid()[:5], fabric.FaultGeneve},
+		{"other Geneve version", withByte(0, 0x40), fabric.FaultGeneve},
+		{"control packet", withByte(1, 0x80), fabric.FaultGeneve},
+		{"critical option", withByte(1, 0x40), fabric.FaultOption},
+		{"options beyond the end", withByte(0, 0x3f), fabric.FaultGeneve},
+		{"inner Ethernet", withByte(2, 0x65), fabric.FaultGeneve},
+		{"no inner packet", valid()[:8], fabric.FaultIP},
+		{"inner version 6 in IPv4", withByte(ip, 0x65), fabric.FaultIP},
+		{"header length too small", withByte(ip, 0x41), fabric.FaultIP},
+		{"total length beyond the end", withByte(ip+2, 0xff), fabric.FaultIP},
+		{"first fragment", withByte(ip+6, 0x20), fabric.FaultFragment},
+		{"later fragment", withByte(ip+7, 0x01), fabric.FaultFragment},
+		{"ICMP", withByte(ip+9, 1), fabric.FaultProtocol},
+		{"truncated TCP", valid()[:ip+20+10], fabric.FaultIP},
+		{"TCP header length beyond the end", withByte(ip+20+12, 0xf0), fabric.FaultTransport},
 	} {
 		var p carawaycart.Packet
 		if got := fabric.NewDecoder().Decode(test.datagram, &p); got != test.want {
@@ -117,7 +117,9 @@
 	}
 }
 
-func TestDecodeSurvivesDamage(t *testing.T) {
+// Guards against panics and out-of-range reads on malformed input, and against
+// a decoder that never reports one of the faults.
+func TestDecodeMutatedDatagrams(t *testing.T) {
 	syn := tcpPacket(t, func(_ *layers.IPv4, s *layers.TCP) { s.SYN, s.ACK = true, false })
 	decoder := fabric.NewDecoder()
 	counts := make(map[fabric.Fault]int)
@@ -131,7 +133,7 @@
 	})
 	for f := fabric.FaultNone; f < fabric.Fault(fabric.FaultCount); f++ {
 		if counts[f] == 0 {
-			t.Errorf("no damaged datagram gave %s, so the test shows too little", f)
+			t.Errorf("no mutated datagram gave fault %s, so the test does not cover it", f)
 		}
 	}
 }
--- a/io/fabric/doc.go
+++ b/io/fabric/doc.go
@@ -1,4 +1,5 @@
-// Package fabric speaks to the platform's fabric, which hands over packets in
-// Geneve (RFC 8926) over UDP. The balancer sends the same datagram on to an
-// endpoint, or once to the peer that has to decide about it.
+// Package fabric implements the data path to the platform's fabric, which
+// delivers packets encapsulated in Geneve (RFC 8926) over UDP. The balancer
+// forwards each datagram unchanged to an endpoint, or at most once to the peer
+// that decides on its flow.
 package fabric
--- a/io/fabric/port.go
+++ b/io/fabric/port.go
@@ -12,104 +12,107 @@
 )
 
 const (
-	batchSize     = 32
-	datagramBytes = 9216 // a jumbo frame
-	cachedPeers   = 1 << 16
+	batchSize          = 32   // datagrams per system call
+	maxDatagramBytes   = 9216 // a jumbo frame
+	maxCachedAddresses = 1 << 16
 )
 
-// Handler decides where packets go.
+// Handler selects the destinations of packets. Its methods must be safe for
+// concurrent use.
 type Handler interface {
-	// Handle returns where the datagram that holds p is to be sent, or false to
-	// drop it; the handler counts the cause.
+	// Handle returns the destination of the datagram that holds p, or false to
+	// drop it; Handle counts the cause of a drop.
 	Handle(p *carawaycart.Packet) (netip.AddrPort, bool)
 	// Fault counts a datagram that could not be decoded.
 	Fault(f Fault)
 }
 
-// Translator turns datagrams that arrive into datagrams to send; it serves one
-// thread.
+// Translator converts received datagrams to datagrams to send. Each forwarding
+// thread has its own.
 type Translator interface {
-	// Headroom returns how many bytes Translate may write before a datagram.
+	// Headroom returns the number of bytes reserved before each datagram, which
+	// Translate may overwrite.
 	Headroom() int
-	// MaxDatagram returns the longest datagram that can arrive, in bytes.
+	// MaxDatagram returns the size of the receive buffer for a datagram, in bytes.
 	MaxDatagram() int
-	// Translate returns what to send, and where, for the datagram that begins in
-	// b after the headroom; it returns false to send nothing. The result may lie
-	// in b.
+	// Translate returns the datagram to send and its destination for the datagram
+	// that begins in b after the headroom, or false to send nothing. The result
+	// may alias b.
 	Translate(b []byte) ([]byte, netip.AddrPort, bool)
 }
 
-// Port forwards the datagrams that arrive on one UDP socket.
+// Port forwards the datagrams received on one UDP socket.
 type Port struct {
 	conn *net.UDPConn
-	done sync.WaitGroup
+	wg   sync.WaitGroup
 }
 
-// NewPort forwards datagrams that arrive on conn with the given number of
-// threads until Close; relayed marks what arrives as sent on by a peer.
+// NewPort forwards Geneve datagrams received on conn with the given number of
+// threads until Close. If relayed is set, the packets passed to handler are
+// marked as relayed by a peer.
 func NewPort(conn *net.UDPConn, relayed bool, handler Handler, threads int) *Port {
 	return NewTranslatorPort(conn, threads, func() Translator {
-		return &unwrapper{relayed: relayed, handler: handler, decoder: NewDecoder()}
+		return &geneveForwarder{relayed: relayed, handler: handler, decoder: NewDecoder()}
 	})
 }
 
-// NewTranslatorPort translates datagrams that arrive on conn with the given
-// number of threads until Close.
+// NewTranslatorPort translates and forwards datagrams received on conn with the
+// given number of threads until Close. It calls newTranslator once per thread.
 func NewTranslatorPort(conn *net.UDPConn, threads int, newTranslator func() Translator) *Port {
 	p := &Port{conn: conn}
 	for range threads {
-		p.done.Go(func() {
+		p.wg.Go(func() {
 			newForwarder(conn, newTranslator()).run()
 		})
 	}
 	return p
 }
 
-// Close stops forwarding and closes the socket.
+// Close closes the socket and waits until all threads have stopped.
 func (p *Port) Close() error {
 	err := p.conn.Close()
-	p.done.Wait()
+	p.wg.Wait()
 	return errors.Annotatef(err, "close port %s", p.conn.LocalAddr())
 }
 
-// unwrapper is the Translator of Geneve datagrams, which it sends on unchanged.
-type unwrapper struct {
+// geneveForwarder is a Translator that forwards Geneve datagrams unchanged.
+type geneveForwarder struct {
 	relayed bool
 	handler Handler
 	decoder *Decoder
 }
 
 // Headroom returns zero.
-func (*unwrapper) Headroom() int { return 0 }
+func (*geneveForwarder) Headroom() int { return 0 }
 
 // MaxDatagram returns the size of a jumbo frame.
-func (*unwrapper) MaxDatagram() int { return datagramBytes }
+func (*geneveForwarder) MaxDatagram() int { return maxDatagramBytes }
 
-// Translate returns b if the handler knows where to send it.
-func (u *unwrapper) Translate(b []byte) ([]byte, netip.AddrPort, bool) {
-	if len(b) >= datagramBytes {
-		u.handler.Fault(FaultIP)
+// Translate returns b unchanged with the destination that the handler selects.
+func (f *geneveForwarder) Translate(b []byte) ([]byte, netip.AddrPort, bool) {
+	if len(b) >= maxDatagramBytes {
+		f.handler.Fault(FaultIP)
 		return nil, netip.AddrPort{}, false
 	}
 	var p carawaycart.Packet
-	if fault := u.decoder.Decode(b, &p); fault != FaultNone {
-		u.handler.Fault(fault)
+	if fault := f.decoder.Decode(b, &p); fault != FaultNone {
+		f.handler.Fault(fault)
 		return nil, netip.AddrPort{}, false
 	}
-	p.Relayed = u.relayed
-	address, ok := u.handler.Handle(&p)
+	p.Relayed = f.relayed
+	address, ok := f.handler.Handle(&p)
 	return b, address, ok
 }
 
-// forwarder is the state of one thread; its buffers are used again for every
-// batch.
+// forwarder is the state of one forwarding thread. Its buffers are reused for
+// every batch.
 type forwarder struct {
 	conn       *ipv4.PacketConn
 	translator Translator
 	headroom   int
 	buffers    [][]byte
-	in         []ipv4.Message
-	out        []ipv4.Message
+	received   []ipv4.Message
+	outgoing   []ipv4.Message
 	addresses  map[netip.AddrPort]*net.UDPAddr
 }
 
@@ -119,29 +122,29 @@
 		translator: t,
 		headroom:   t.Headroom(),
 		buffers:    make([][]byte, batchSize),
-		in:         make([]ipv4.Message, batchSize),
-		out:        make([]ipv4.Message, 0, batchSize),
+		received:   make([]ipv4.Message, batchSize),
+		outgoing:   make([]ipv4.Message, 0, batchSize),
 		addresses:  make(map[netip.AddrPort]*net.UDPAddr),
 	}
-	for i := range f.in {
+	for i := range f.received {
 		f.buffers[i] = make([]byte, f.headroom+t.MaxDatagram())
-		f.in[i].Buffers = [][]byte{f.buffers[i][f.headroom:]}
+		f.received[i].Buffers = [][]byte{f.buffers[i][f.headroom:]}
 	}
 	return f
 }
 
 func (f *forwarder) run() {
 	for {
-		n, err := f.conn.ReadBatch(f.in, 0)
+		n, err := f.conn.ReadBatch(f.received, 0)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // an ICMP error of an earlier send
+			continue // an ICMP error caused by an earlier send
 		}
-		f.out = f.out[:0]
-		for i := range f.in[:n] {
-			f.handle(f.buffers[i][:f.headroom+f.in[i].N])
+		f.outgoing = f.outgoing[:0]
+		for i := range f.received[:n] {
+			f.handle(f.buffers[i][:f.headroom+f.received[i].N])
 		}
 		f.flush()
 	}
@@ -152,19 +155,19 @@
 	if !ok {
 		return
 	}
-	i := len(f.out)
-	f.out = f.out[:i+1]
-	if f.out[i].Buffers == nil {
-		f.out[i].Buffers = make([][]byte, 1)
+	i := len(f.outgoing)
+	f.outgoing = f.outgoing[:i+1]
+	if f.outgoing[i].Buffers == nil {
+		f.outgoing[i].Buffers = make([][]byte, 1)
 	}
-	f.out[i].Buffers[0] = datagram
-	f.out[i].Addr = f.address(address)
+	f.outgoing[i].Buffers[0] = datagram
+	f.outgoing[i].Addr = f.address(address)
 }
 
 func (f *forwarder) address(a netip.AddrPort) *net.UDPAddr {
 	u, ok := f.addresses[a]
 	if !ok {
-		if len(f.addresses) >= cachedPeers {
+		if len(f.addresses) >= maxCachedAddresses {
 			clear(f.addresses)
 		}
 		u = net.UDPAddrFromAddrPort(a)
@@ -173,14 +176,14 @@
 	return u
 }
 
-// flush sends the batch; a datagram that cannot be sent is skipped, as on any
-// network.
+// flush sends the batch. A datagram that cannot be sent is dropped, since UDP
+// delivery is best effort.
 func (f *forwarder) flush() {
-	for out := f.out; len(out) > 0; {
-		n, err := f.conn.WriteBatch(out, 0)
+	for outgoing := f.outgoing; len(outgoing) > 0; {
+		n, err := f.conn.WriteBatch(outgoing, 0)
 		if err != nil {
 			n = max(n, 1)
 		}
-		out = out[n:]
+		outgoing = outgoing[n:]
 	}
 }
