--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -14,25 +14,27 @@
 
 const dialTimeout = 500 * time.Millisecond
 
-// Client calls peers over one connection each; it is safe for concurrent use.
+// Client calls peers over one connection per peer. It is safe for concurrent use.
 type Client struct {
 	meter Meter
 	mu    sync.Mutex
 	conns map[netip.AddrPort]*rpc.Client
 }
 
-// NewClient returns a client without connections that counts bytes with meter.
+// NewClient returns a Client that counts the bytes sent with meter. Connections
+// are opened on demand.
 func NewClient(meter Meter) *Client {
 	return &Client{meter: meter, conns: make(map[netip.AddrPort]*rpc.Client)}
 }
 
-// Call calls method of the peer at address and fills reply. The deadline of ctx
-// bounds the wait; the error names the method and the peer.
+// Call calls method of the peer at address and merges the result into reply. It
+// returns when ctx is done at the latest. The error names the method and the
+// peer.
 func (c *Client) Call(ctx context.Context, address netip.AddrPort, method string, args, reply proto.Message) error {
 	var err error
 	for range 2 {
 		err = c.call(ctx, address, method, args, reply)
-		if !broken(err) {
+		if !isConnectionFailure(err) {
 			break
 		}
 		c.Drop(address)
@@ -40,14 +42,16 @@
 	return errors.Annotatef(err, "call %s of peer %s", method, address)
 }
 
-// broken reports whether err tells that the connection was no longer usable.
-func broken(err error) bool {
+// isConnectionFailure reports whether err means that an established connection
+// failed. It returns false for nil, for the end of the context, for an error that
+// the peer returned and for a net.OpError.
+func isConnectionFailure(err error) bool {
 	if err == nil || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		return false
 	}
 	var remote rpc.ServerError
-	var dial *net.OpError
-	return !errors.As(err, &remote) && !errors.As(err, &dial)
+	var opError *net.OpError
+	return !errors.As(err, &remote) && !errors.As(err, &opError)
 }
 
 func (c *Client) call(ctx context.Context, address netip.AddrPort, method string, args, reply proto.Message) error {
@@ -55,15 +59,16 @@
 	if err != nil {
 		return err
 	}
-	// A call that times out may still be written into reply, so it gets its own.
-	own := reply.ProtoReflect().New().Interface()
-	call := conn.Go("Peer."+method, args, own, make(chan *rpc.Call, 1))
+	// net/rpc may decode a late response after ctx is done, so the call must not
+	// write to reply directly.
+	result := reply.ProtoReflect().New().Interface()
+	call := conn.Go("Peer."+method, args, result, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
 		if call.Error != nil {
 			return call.Error
 		}
-		proto.Merge(reply, own)
+		proto.Merge(reply, result)
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -82,18 +87,18 @@
 	if err != nil {
 		return nil, err
 	}
-	fresh := rpc.NewClientWithCodec(&clientCodec{newCodec(raw, c.meter)})
+	client := rpc.NewClientWithCodec(&clientCodec{newCodec(raw, c.meter)})
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn := c.conns[address]; conn != nil {
-		_ = fresh.Close()
+		_ = client.Close()
 		return conn, nil
 	}
-	c.conns[address] = fresh
-	return fresh, nil
+	c.conns[address] = client
+	return client, nil
 }
 
-// Drop closes the connection to address.
+// Drop closes the connection to address, if there is one.
 func (c *Client) Drop(address netip.AddrPort) {
 	c.mu.Lock()
 	conn := c.conns[address]
@@ -104,17 +109,17 @@
 	}
 }
 
-// Retain closes the connections to all addresses that keep does not accept.
+// Retain closes the connections to all addresses for which keep returns false.
 func (c *Client) Retain(keep func(netip.AddrPort) bool) {
 	c.mu.Lock()
-	var drop []netip.AddrPort
+	var closing []netip.AddrPort
 	for a := range c.conns {
 		if !keep(a) {
-			drop = append(drop, a)
+			closing = append(closing, a)
 		}
 	}
 	c.mu.Unlock()
-	for _, a := range drop {
+	for _, a := range closing {
 		c.Drop(a)
 	}
 }
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -13,20 +13,22 @@
 	"carawaycart/message"
 )
 
-// maxMessage bounds a message in bytes; a larger one ends the connection.
-const maxMessage = 16 << 20
+// maxMessageBytes is the maximum size of a received message. A larger one ends
+// the connection.
+const maxMessageBytes = 16 << 20
 
-// maxError bounds the text of an error that a reply carries, in bytes.
-const maxError = 256
+// maxErrorBytes is the maximum length of the error text in a reply. Longer texts
+// are truncated.
+const maxErrorBytes = 256
 
-// Meter counts the bytes of calls by method.
+// Meter counts the bytes that calls and replies send.
 type Meter interface {
-	// Sent counts bytes written for method.
+	// Sent adds bytes to the count of method.
 	Sent(method string, bytes int)
 }
 
-// codec frames calls and replies on one connection. It implements rpc.ClientCodec
-// and rpc.ServerCodec by way of the two types below.
+// codec frames calls and replies on one connection. clientCodec and serverCodec
+// embed it to implement rpc.ClientCodec and rpc.ServerCodec.
 type codec struct {
 	conn    io.ReadWriteCloser
 	reader  *bufio.Reader
@@ -42,7 +44,7 @@
 		reader:  bufio.NewReader(conn),
 		writer:  bufio.NewWriter(conn),
 		meter:   meter,
-		options: protodelim.UnmarshalOptions{MaxSize: maxMessage},
+		options: protodelim.UnmarshalOptions{MaxSize: maxMessageBytes},
 	}
 }
 
@@ -65,7 +67,8 @@
 	return errors.Annotatef(c.writer.Flush(), "send %s", h.GetMethod())
 }
 
-// readHeader passes io.EOF on unchanged, by which net/rpc knows a closed connection.
+// readHeader returns io.EOF unwrapped, since net/rpc compares with it to detect a
+// closed connection.
 func (c *codec) readHeader(h *message.CallHeader) error {
 	return c.options.UnmarshalFrom(c.reader, h)
 }
@@ -98,7 +101,7 @@
 	return nil
 }
 
-// ReadResponseBody reads the body of the reply whose header was read.
+// ReadResponseBody reads the body of the reply whose header was read last.
 func (c *clientCodec) ReadResponseBody(body any) error { return c.readBody(body) }
 
 type serverCodec struct{ codec }
@@ -113,14 +116,14 @@
 	return nil
 }
 
-// ReadRequestBody reads the body of the call whose header was read.
+// ReadRequestBody reads the body of the call whose header was read last.
 func (c *serverCodec) ReadRequestBody(body any) error { return c.readBody(body) }
 
-// WriteResponse sends one reply.
+// WriteResponse sends one reply and truncates its error text to the maximum.
 func (c *serverCodec) WriteResponse(r *rpc.Response, body any) error {
 	text := r.Error
-	if len(text) > maxError {
-		text = text[:maxError]
+	if len(text) > maxErrorBytes {
+		text = text[:maxErrorBytes]
 	}
 	return c.write(&message.CallHeader{Method: r.ServiceMethod, Sequence: r.Seq, Error: text}, body)
 }
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -13,24 +13,24 @@
 	"carawaycart/message"
 )
 
-// echo is a Handler that answers some calls and fails or delays others.
-type echo struct {
+// fakeHandler is a Handler that answers Exchange after a delay and fails Finish.
+type fakeHandler struct {
 	peer.Handler
 	delay time.Duration
 	calls atomic.Int64
 }
 
-func (e *echo) Exchange(x *message.Exchange) (*message.Exchange, error) {
+func (e *fakeHandler) Exchange(x *message.Exchange) (*message.Exchange, error) {
 	e.calls.Add(1)
 	time.Sleep(e.delay)
 	return &message.Exchange{From: x.GetFrom() + " heard"}, nil
 }
 
-func (e *echo) Finish(*message.Claim) error { return errors.New("no such claim") }
+func (e *fakeHandler) Finish(*message.Claim) error { return errors.New("no such claim") }
 
-type noMeter struct{}
+type discardMeter struct{}
 
-func (noMeter) Sent(string, int) {}
+func (discardMeter) Sent(string, int) {}
 
 func serve(t *testing.T, h peer.Handler) netip.AddrPort {
 	t.Helper()
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := peer.NewServer(listener, h, noMeter{})
+	s, err := peer.NewServer(listener, h, discardMeter{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,48 +47,50 @@
 }
 
 func TestCall(t *testing.T) {
-	address := serve(t, &echo{})
-	client := peer.NewClient(noMeter{})
+	address := serve(t, &fakeHandler{})
+	client := peer.NewClient(discardMeter{})
 	defer client.Close()
 	reply := &message.Exchange{}
 	if err := client.Call(context.Background(), address, "Exchange", &message.Exchange{From: "a"}, reply); err != nil {
 		t.Fatal(err)
 	}
 	if reply.GetFrom() != "a heard" {
-		t.Errorf("got %q, want the answer to this call", reply.GetFrom())
+		t.Errorf("got reply %q, want \"a heard\"", reply.GetFrom())
 	}
 	err := client.Call(context.Background(), address, "Finish", &message.Claim{}, &message.Acknowledgement{})
 	if err == nil || err.Error() != "call Finish of peer "+address.String()+": no such claim" {
-		t.Errorf("got error %v, want the peer's with call and peer", err)
+		t.Errorf("got error %v, want the peer's error with the method and the address", err)
 	}
 }
 
-func TestCallEndsAtItsDeadline(t *testing.T) {
-	address := serve(t, &echo{delay: 200 * time.Millisecond})
-	client := peer.NewClient(noMeter{})
+// A reply that arrives after the deadline must not be written to the reply of
+// that call or of the next one.
+func TestCallReturnsAtDeadline(t *testing.T) {
+	address := serve(t, &fakeHandler{delay: 200 * time.Millisecond})
+	client := peer.NewClient(discardMeter{})
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
 	late := &message.Exchange{}
 	if err := client.Call(ctx, address, "Exchange", &message.Exchange{From: "late"}, late); !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("got %v, want the deadline", err)
+		t.Fatalf("got %v, want context.DeadlineExceeded", err)
 	}
 	reply := &message.Exchange{}
 	if err := client.Call(context.Background(), address, "Exchange", &message.Exchange{From: "next"}, reply); err != nil {
 		t.Fatal(err)
 	}
 	if late.GetFrom() != "" || reply.GetFrom() != "next heard" {
-		t.Errorf("got %q and %q, want a late answer dropped and the next one its own", late.GetFrom(), reply.GetFrom())
+		t.Errorf("got replies %q and %q, want the late one discarded and \"next heard\"", late.GetFrom(), reply.GetFrom())
 	}
 }
 
-// tracker is a listener that hands out the connections that it accepts.
-type tracker struct {
+// connListener is a listener that sends each accepted connection to conns.
+type connListener struct {
 	net.Listener
 	conns chan net.Conn
 }
 
-func (l *tracker) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
 		l.conns <- conn
@@ -96,46 +98,50 @@
 	return conn, err
 }
 
-func TestCallAfterTheConnectionBroke(t *testing.T) {
+// A call on a cached connection that the server has closed must be retried on a
+// new connection.
+func TestCallReconnects(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := &tracker{Listener: inner, conns: make(chan net.Conn, 2)}
-	server, err := peer.NewServer(listener, &echo{}, noMeter{})
+	listener := &connListener{Listener: inner, conns: make(chan net.Conn, 2)}
+	server, err := peer.NewServer(listener, &fakeHandler{}, discardMeter{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
 	address := inner.Addr().(*net.TCPAddr).AddrPort()
-	client := peer.NewClient(noMeter{})
+	client := peer.NewClient(discardMeter{})
 	defer client.Close()
 	if err := client.Call(context.Background(), address, "Exchange", &message.Exchange{}, &message.Exchange{}); err != nil {
 		t.Fatal(err)
 	}
 	_ = (<-listener.conns).Close()
 	if err := client.Call(context.Background(), address, "Exchange", &message.Exchange{}, &message.Exchange{}); err != nil {
-		t.Errorf("got %v, want the call made on a new connection", err)
+		t.Errorf("got error %v, want the call retried on a new connection", err)
 	}
 }
 
-func TestServerOutlivesGarbage(t *testing.T) {
-	handler := &echo{}
+// Malformed input on one connection must neither stop the server nor reach the
+// handler.
+func TestServerSurvivesMalformedInput(t *testing.T) {
+	handler := &fakeHandler{}
 	address := serve(t, handler)
-	for _, garbage := range [][]byte{{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f}, []byte("GET / HTTP/1.1\r\n\r\n"), {3, 1, 2}} {
+	for _, input := range [][]byte{{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f}, []byte("GET / HTTP/1.1\r\n\r\n"), {3, 1, 2}} {
 		conn, err := net.Dial("tcp", address.String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = conn.Write(garbage)
+		_, _ = conn.Write(input)
 		_ = conn.Close()
 	}
-	client := peer.NewClient(noMeter{})
+	client := peer.NewClient(discardMeter{})
 	defer client.Close()
 	if err := client.Call(context.Background(), address, "Exchange", &message.Exchange{}, &message.Exchange{}); err != nil {
-		t.Errorf("got %v, want the server to answer", err)
+		t.Errorf("got error %v, want an answer after malformed input", err)
 	}
 	if n := handler.calls.Load(); n != 1 {
-		t.Errorf("got %d calls, want garbage to be none", n)
+		t.Errorf("got %d calls, want 1, since malformed input is not a call", n)
 	}
 }
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -10,42 +10,46 @@
 	"carawaycart/message"
 )
 
-// Handler answers the calls of peers; its methods must be safe for concurrent
-// use and idempotent.
+// Handler answers the calls of peers. Its methods must be idempotent and safe
+// for concurrent use.
 type Handler interface {
-	// Exchange takes in a probe with its news and returns news.
+	// Exchange applies a probe with the updates that it carries, or updates alone,
+	// and returns the updates that the sender lacks.
 	Exchange(*message.Exchange) (*message.Exchange, error)
-	// Pull returns what a newcomer lacks.
+	// Pull returns the state that a starting instance lacks.
 	Pull(*message.PullRequest) (*message.PullReply, error)
-	// Records takes in replicated flow records.
+	// Records merges replicated flow records and ends of flows.
 	Records(*message.RecordBatch) error
-	// Begin takes in an attempt as keeper of its key.
+	// Begin records the start of an attempt; the receiver is the keeper of its key.
 	Begin(*message.Claim) (*message.ClaimReply, error)
-	// Finish takes in the end of an attempt as keeper of its key.
+	// Finish records the end of an attempt; the receiver is the keeper of its key.
 	Finish(*message.Claim) error
-	// Copy takes in replicated claims and returns those that stand in the way.
+	// Copy merges replicated claims and returns the claims held that conflict with
+	// them.
 	Copy(*message.ClaimBatch) (*message.ClaimCopies, error)
-	// Acquire grants a request slot as keeper of the endpoint.
+	// Acquire grants or denies a permit; the receiver is the keeper of the endpoint.
 	Acquire(*message.AcquireRequest) (*message.AcquireReply, error)
-	// Release takes a request slot back.
+	// Release returns a permit to the keeper of the endpoint.
 	Release(*message.ReleaseRequest) error
 }
 
 // service adapts a Handler to the method signatures of net/rpc.
 type service struct{ handler Handler }
 
-func answer[M any](reply *M, result *M, err error, set func(dst, src *M)) error {
+// copyReply copies result to reply with copyFields, since protobuf messages must
+// not be copied by assignment. If err is not nil, it returns err instead.
+func copyReply[M any](reply *M, result *M, err error, copyFields func(dst, src *M)) error {
 	if err != nil {
 		return err
 	}
-	set(reply, result)
+	copyFields(reply, result)
 	return nil
 }
 
 // Exchange serves Handler.Exchange.
 func (s *service) Exchange(args, reply *message.Exchange) error {
 	result, err := s.handler.Exchange(args)
-	return answer(reply, result, err, func(d, r *message.Exchange) {
+	return copyReply(reply, result, err, func(d, r *message.Exchange) {
 		d.Self, d.Members, d.Statuses, d.Changes = r.Self, r.Members, r.Statuses, r.Changes
 		d.MemberDigest, d.StatusDigest, d.From = r.MemberDigest, r.StatusDigest, r.From
 	})
@@ -54,7 +58,7 @@
 // Pull serves Handler.Pull.
 func (s *service) Pull(args *message.PullRequest, reply *message.PullReply) error {
 	result, err := s.handler.Pull(args)
-	return answer(reply, result, err, func(d, r *message.PullReply) {
+	return copyReply(reply, result, err, func(d, r *message.PullReply) {
 		d.Snapshot, d.Changes, d.Exchange, d.Records, d.Claims = r.Snapshot, r.Changes, r.Exchange, r.Records, r.Claims
 	})
 }
@@ -67,7 +71,7 @@
 // Begin serves Handler.Begin.
 func (s *service) Begin(args *message.Claim, reply *message.ClaimReply) error {
 	result, err := s.handler.Begin(args)
-	return answer(reply, result, err, func(d, r *message.ClaimReply) { d.Verdict, d.Claim = r.Verdict, r.Claim })
+	return copyReply(reply, result, err, func(d, r *message.ClaimReply) { d.Verdict, d.Claim = r.Verdict, r.Claim })
 }
 
 // Finish serves Handler.Finish.
@@ -78,13 +82,13 @@
 // Copy serves Handler.Copy.
 func (s *service) Copy(args *message.ClaimBatch, reply *message.ClaimCopies) error {
 	result, err := s.handler.Copy(args)
-	return answer(reply, result, err, func(d, r *message.ClaimCopies) { d.Conflicts = r.Conflicts })
+	return copyReply(reply, result, err, func(d, r *message.ClaimCopies) { d.Conflicts = r.Conflicts })
 }
 
 // Acquire serves Handler.Acquire.
 func (s *service) Acquire(args *message.AcquireRequest, reply *message.AcquireReply) error {
 	result, err := s.handler.Acquire(args)
-	return answer(reply, result, err, func(d, r *message.AcquireReply) { d.Granted, d.State = r.Granted, r.State })
+	return copyReply(reply, result, err, func(d, r *message.AcquireReply) { d.Granted, d.State = r.Granted, r.State })
 }
 
 // Release serves Handler.Release.
@@ -92,9 +96,9 @@
 	return s.handler.Release(args)
 }
 
-// DirectoryHandler answers the calls of peers that share a directory.
+// DirectoryHandler answers the calls of peers that replicate a directory.
 type DirectoryHandler interface {
-	// Directory returns what the requesting peer lacks.
+	// Directory returns a snapshot of what the requesting peer lacks.
 	Directory(*message.DirectoryRequest) (*message.DirectoryCopy, error)
 }
 
@@ -104,56 +108,58 @@
 // Directory serves DirectoryHandler.Directory.
 func (s *directoryService) Directory(args *message.DirectoryRequest, reply *message.DirectoryCopy) error {
 	result, err := s.handler.Directory(args)
-	return answer(reply, result, err, func(d, r *message.DirectoryCopy) {
+	return copyReply(reply, result, err, func(d, r *message.DirectoryCopy) {
 		d.AtRevision, d.AgeMs, d.CompressedBody = r.AtRevision, r.AgeMs, r.CompressedBody
 	})
 }
 
-// Server accepts the calls of peers.
+// Server accepts connections of peers and serves their calls.
 type Server struct {
 	listener net.Listener
 	mu       sync.Mutex
 	conns    map[net.Conn]struct{}
 	closed   bool
-	done     sync.WaitGroup
+	wg       sync.WaitGroup
 }
 
-// NewServer serves handler on listener until Close, counting bytes with meter.
+// NewServer serves handler on listener until Close and counts the bytes sent
+// with meter.
 func NewServer(listener net.Listener, handler Handler, meter Meter) (*Server, error) {
 	return newServer(listener, &service{handler}, meter)
 }
 
-// NewDirectoryServer serves handler on listener until Close, counting bytes
-// with meter.
+// NewDirectoryServer serves handler on listener until Close and counts the bytes
+// sent with meter.
 func NewDirectoryServer(listener net.Listener, handler DirectoryHandler, meter Meter) (*Server, error) {
 	return newServer(listener, &directoryService{handler}, meter)
 }
 
 func newServer(listener net.Listener, methods any, meter Meter) (*Server, error) {
-	r := rpc.NewServer()
-	if err := r.RegisterName("Peer", methods); err != nil {
+	rpcServer := rpc.NewServer()
+	if err := rpcServer.RegisterName("Peer", methods); err != nil {
 		return nil, errors.Annotate(err, "register peer service")
 	}
 	s := &Server{listener: listener, conns: make(map[net.Conn]struct{})}
-	s.done.Go(func() {
+	s.wg.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			if !s.add(conn) {
+			if !s.addConn(conn) {
 				continue
 			}
-			s.done.Go(func() {
-				defer s.remove(conn)
-				r.ServeCodec(&serverCodec{newCodec(conn, meter)})
+			s.wg.Go(func() {
+				defer s.removeConn(conn)
+				rpcServer.ServeCodec(&serverCodec{newCodec(conn, meter)})
 			})
 		}
 	})
 	return s, nil
 }
 
-func (s *Server) add(conn net.Conn) bool {
+// addConn registers conn, or closes it and returns false if the server is closed.
+func (s *Server) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -164,7 +170,7 @@
 	return true
 }
 
-func (s *Server) remove(conn net.Conn) {
+func (s *Server) removeConn(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
@@ -179,5 +185,5 @@
 		_ = conn.Close()
 	}
 	s.mu.Unlock()
-	s.done.Wait()
+	s.wg.Wait()
 }
