--- a/io/platform/changelog.go
+++ b/io/platform/changelog.go
@@ -15,47 +15,49 @@
 )
 
 const (
-	logPrefix     = "carawaycart/log/"
-	snapshotKey   = "carawaycart/snapshot"
-	snapshotEvery = 64 // revisions between snapshots
-	maxAttempts   = 20 // lost races before an append gives up
+	logPrefix         = "carawaycart/log/"
+	snapshotKey       = "carawaycart/snapshot"
+	snapshotInterval  = 64 // revisions between snapshots
+	maxAppendAttempts = 20 // revisions that an append may lose to other changes before it fails
 )
 
-// ChangeLog is the configuration's log of changes in the platform's store.
+// ChangeLog is the log of configuration changes in the platform's store.
 type ChangeLog struct {
 	store carawaycart.Store
 	clock carawaycart.Clock
 }
 
-// NewChangeLog returns the log kept in store.
+// NewChangeLog returns the change log in store. The times of new changes are
+// read from clock.
 func NewChangeLog(store carawaycart.Store, clock carawaycart.Clock) *ChangeLog {
 	return &ChangeLog{store: store, clock: clock}
 }
 
 func logKey(r carawaycart.Revision) string { return fmt.Sprintf("%s%012d", logPrefix, uint64(r)) }
 
-// ConflictError tells that another operator changed the same object first.
+// ConflictError is returned when another operator changed the same object first.
+// Winner is that operator's change.
 type ConflictError struct{ Winner carawaycart.Change }
 
-// Error names the change that won.
+// Error returns a text that identifies the winning change.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("%s %s was changed by %s in revision %d (change %s) in the meantime",
 		e.Winner.Kind, e.Winner.Name, e.Winner.Operator, e.Winner.Revision, e.Winner.ID)
 }
 
-// Edit is a change that an operator asks for.
+// Edit is a change requested by an operator.
 type Edit struct {
 	Operator carawaycart.OperatorName
 	Kind     carawaycart.ObjectKind
 	Name     string
-	// Update returns the new object for the present one, nil if there is none;
-	// a nil result deletes the object.
+	// Update returns the new object given the present one, which is nil if the
+	// object does not exist. A nil result deletes the object.
 	Update func(present json.RawMessage) (json.RawMessage, error)
 }
 
-// Latest returns the configuration at the highest revision in the store.
+// Latest returns the configuration at the latest revision in the store.
 func (l *ChangeLog) Latest(ctx context.Context) (*config.Configuration, error) {
-	c, err := l.snapshot(ctx)
+	c, err := l.readSnapshot(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +73,7 @@
 	}
 }
 
-func (l *ChangeLog) snapshot(ctx context.Context) (*config.Configuration, error) {
+func (l *ChangeLog) readSnapshot(ctx context.Context) (*config.Configuration, error) {
 	e, err := l.store.Get(ctx, snapshotKey)
 	if errors.Is(err, errors.NotFound) {
 		return config.New(), nil
@@ -83,8 +85,8 @@
 	return c, errors.Annotate(err, "read snapshot")
 }
 
-// Next returns the configuration that follows c in the store; the error is
-// NotFound if c is the latest.
+// Next returns the configuration one revision after c. The error is NotFound if
+// c is the latest.
 func (l *ChangeLog) Next(ctx context.Context, c *config.Configuration) (*config.Configuration, error) {
 	change, err := l.Change(ctx, c.Revision+1)
 	if err != nil {
@@ -94,7 +96,7 @@
 	return next, nil
 }
 
-// Change returns the entry of revision r; the error is NotFound if there is none.
+// Change returns the entry of revision r. The error is NotFound if there is none.
 func (l *ChangeLog) Change(ctx context.Context, r carawaycart.Revision) (carawaycart.Change, error) {
 	e, err := l.store.Get(ctx, logKey(r))
 	if err != nil {
@@ -103,8 +105,8 @@
 	return decodeChange(e, r), nil
 }
 
-// Await returns the entry of revision r as soon as it exists; the error is
-// NotFound if the service's time limit passes first.
+// Await waits for the entry of revision r and returns it. The error is NotFound
+// if the store's blocking read times out first.
 func (l *ChangeLog) Await(ctx context.Context, r carawaycart.Revision) (carawaycart.Change, error) {
 	e, err := l.store.Wait(ctx, logKey(r), 0)
 	if err != nil {
@@ -113,9 +115,9 @@
 	return decodeChange(e, r), nil
 }
 
-// decodeChange returns the change that e holds. A corrupt entry becomes a
-// change of a kind that no configuration applies, so that it uses its revision
-// up and does nothing else.
+// decodeChange returns the change in e. A corrupt entry becomes a change of an
+// unknown kind, which no configuration applies, so that it occupies its revision
+// without effect.
 func decodeChange(e carawaycart.StoreEntry, r carawaycart.Revision) carawaycart.Change {
 	var c carawaycart.Change
 	if err := config.DecodeStrict(e.Value, &c); err != nil || c.Revision != r {
@@ -124,7 +126,7 @@
 	return c
 }
 
-// Changes returns the entries from revision first on, in order.
+// Changes returns the entries of revision first and later, in order.
 func (l *ChangeLog) Changes(ctx context.Context, first carawaycart.Revision) ([]carawaycart.Change, error) {
 	entries, err := l.store.List(ctx, logPrefix)
 	if err != nil {
@@ -141,10 +143,10 @@
 	return changes, nil
 }
 
-// Append makes edit at the next free revision and returns the accepted change.
+// Append appends edit at the next free revision and returns the accepted change.
 // The error is a *ConflictError if another operator changed the object after
-// the configuration was read. If the store's answer to the write is lost, the
-// outcome is settled by looking for the change's id.
+// the configuration was read. If the store's answer to the write is lost, Append
+// determines the outcome by reading the entry back and comparing change IDs.
 func (l *ChangeLog) Append(ctx context.Context, edit Edit) (carawaycart.Change, error) {
 	c, err := l.Latest(ctx)
 	if err != nil {
@@ -153,8 +155,8 @@
 	return l.AppendAfter(ctx, c, edit)
 }
 
-// Check returns the change that Append would make of edit, and the error that it
-// would give for the latest configuration, without writing anything.
+// Check returns the change that Append would append for edit to the latest
+// configuration, or the error that it would return, without writing anything.
 func (l *ChangeLog) Check(ctx context.Context, edit Edit) (carawaycart.Change, error) {
 	c, err := l.Latest(ctx)
 	if err != nil {
@@ -169,35 +171,36 @@
 	return change, err
 }
 
-// AppendAfter is like Append for a caller that holds configuration c, which may
-// be older than the latest.
+// AppendAfter is like Append but starts from configuration c, which may be older
+// than the latest, instead of reading the latest.
 func (l *ChangeLog) AppendAfter(ctx context.Context, c *config.Configuration, edit Edit) (carawaycart.Change, error) {
 	change, err := l.change(c, edit)
 	if err != nil {
 		return carawaycart.Change{}, err
 	}
-	for range maxAttempts {
+	for range maxAppendAttempts {
 		change.Revision = c.Revision + 1
 		next, err := c.Apply(change)
 		if err != nil {
 			return carawaycart.Change{}, err
 		}
-		held, err := l.write(ctx, change)
+		existing, err := l.createEntry(ctx, change)
 		if err != nil {
 			return carawaycart.Change{}, err
 		}
-		if held.ID == change.ID {
-			l.compact(ctx, next)
+		if existing.ID == change.ID {
+			l.writeSnapshot(ctx, next)
 			return change, nil
 		}
-		if held.Kind == change.Kind && held.Name == change.Name {
-			return carawaycart.Change{}, &ConflictError{Winner: held}
+		if existing.Kind == change.Kind && existing.Name == change.Name {
+			return carawaycart.Change{}, &ConflictError{Winner: existing}
 		}
-		c, _ = c.Next(held)
+		c, _ = c.Next(existing)
 	}
-	return carawaycart.Change{}, errors.Errorf("append change: lost %d races", maxAttempts)
+	return carawaycart.Change{}, errors.Errorf("append change: the next revision was taken by another change in %d attempts", maxAppendAttempts)
 }
 
+// change returns the change that edit makes to c. Its revision is not set.
 func (l *ChangeLog) change(c *config.Configuration, edit Edit) (carawaycart.Change, error) {
 	before, err := c.Current(edit.Kind, edit.Name)
 	if err != nil {
@@ -213,9 +216,9 @@
 	}, nil
 }
 
-// write creates the entry of change unless its revision is taken and returns
-// the entry held afterwards.
-func (l *ChangeLog) write(ctx context.Context, change carawaycart.Change) (carawaycart.Change, error) {
+// createEntry creates the entry of change unless its revision exists already, and
+// returns the change that the entry holds afterwards.
+func (l *ChangeLog) createEntry(ctx context.Context, change carawaycart.Change) (carawaycart.Change, error) {
 	value, err := json.Marshal(change)
 	if err != nil {
 		return carawaycart.Change{}, errors.Annotate(err, "encode change")
@@ -224,10 +227,10 @@
 	if err == nil && swapped {
 		return change, nil
 	}
-	held, readErr := l.Change(ctx, change.Revision)
+	existing, readErr := l.Change(ctx, change.Revision)
 	switch {
 	case readErr == nil:
-		return held, nil
+		return existing, nil
 	case err != nil && errors.Is(readErr, errors.NotFound):
 		return carawaycart.Change{}, errors.Annotatef(err, "write revision %d: not accepted", change.Revision)
 	case err != nil:
@@ -237,10 +240,10 @@
 	return carawaycart.Change{}, errors.Annotatef(readErr, "write revision %d", change.Revision)
 }
 
-// compact writes a snapshot from time to time; a failure costs later readers
-// only time.
-func (l *ChangeLog) compact(ctx context.Context, c *config.Configuration) {
-	if c.Revision%snapshotEvery != 0 {
+// writeSnapshot writes a snapshot of c every snapshotInterval revisions. Errors
+// are ignored, since without the snapshot readers only replay more entries.
+func (l *ChangeLog) writeSnapshot(ctx context.Context, c *config.Configuration) {
+	if c.Revision%snapshotInterval != 0 {
 		return
 	}
 	value, err := c.Encode()
@@ -249,8 +252,8 @@
 	}
 	var index carawaycart.StoreIndex
 	if e, err := l.store.Get(ctx, snapshotKey); err == nil {
-		held, err := config.Decode(e.Value)
-		if err == nil && held.Revision >= c.Revision {
+		stored, err := config.Decode(e.Value)
+		if err == nil && stored.Revision >= c.Revision {
 			return
 		}
 		index = e.Index
--- a/io/platform/changelog_test.go
+++ b/io/platform/changelog_test.go
@@ -17,28 +17,28 @@
 	"carawaycart/io/platform"
 )
 
-// fakeStore is a Store in memory whose faults can be set.
+// fakeStore is an in-memory Store with injectable faults.
 type fakeStore struct {
-	mu       sync.Mutex
-	entries  map[string]carawaycart.StoreEntry
-	index    carawaycart.StoreIndex
-	down     bool
-	loseNext bool   // the next write takes effect, its answer is lost
-	failNext bool   // the next write does not take effect
-	before   func() // called once before the next write
+	mu             sync.Mutex
+	entries        map[string]carawaycart.StoreEntry
+	index          carawaycart.StoreIndex
+	down           bool
+	loseNextAnswer bool   // the next write takes effect but returns an error
+	failNextWrite  bool   // the next write has no effect and returns an error
+	beforeWrite    func() // called once before the next write
 }
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{entries: make(map[string]carawaycart.StoreEntry)}
 }
 
-var errDown = errors.New("store is down")
+var errStoreDown = errors.New("store is down")
 
 func (s *fakeStore) Get(_ context.Context, key string) (carawaycart.StoreEntry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
-		return carawaycart.StoreEntry{}, errDown
+		return carawaycart.StoreEntry{}, errStoreDown
 	}
 	e, ok := s.entries[key]
 	if !ok {
@@ -65,23 +65,23 @@
 }
 
 func (s *fakeStore) CompareAndSwap(_ context.Context, key string, value []byte, index carawaycart.StoreIndex) (bool, error) {
-	if f := s.before; f != nil {
-		s.before = nil
+	if f := s.beforeWrite; f != nil {
+		s.beforeWrite = nil
 		f()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down || s.failNext {
-		s.failNext = false
-		return false, errDown
+	if s.down || s.failNextWrite {
+		s.failNextWrite = false
+		return false, errStoreDown
 	}
 	if s.entries[key].Index != index {
 		return false, nil
 	}
 	s.index++
 	s.entries[key] = carawaycart.StoreEntry{Key: key, Value: value, Index: s.index}
-	if s.loseNext {
-		s.loseNext = false
+	if s.loseNextAnswer {
+		s.loseNextAnswer = false
 		return false, errors.New("answer lost")
 	}
 	return true, nil
@@ -91,7 +91,7 @@
 
 func (fixedClock) Now() time.Time { return time.Unix(1000, 0) }
 
-func putZone(name string, out bool) platform.Edit {
+func zoneEdit(name string, out bool) platform.Edit {
 	return platform.Edit{
 		Operator: "op", Kind: carawaycart.KindZone, Name: name,
 		Update: func(json.RawMessage) (json.RawMessage, error) {
@@ -100,26 +100,28 @@
 	}
 }
 
+// A write whose answer is lost must be reported as accepted, and a failed write
+// as not accepted.
 func TestAppendUnderFaults(t *testing.T) {
 	ctx := context.Background()
 	for _, test := range []struct {
 		name     string
 		prepare  func(*fakeStore)
 		accepted bool
-		entries  int // in the log afterwards, a base entry included
+		entries  int // expected in the log, including the one written before the fault
 	}{
 		{"no fault", func(*fakeStore) {}, true, 2},
-		{"answer lost after the write took effect", func(s *fakeStore) { s.loseNext = true }, true, 2},
-		{"write failed", func(s *fakeStore) { s.failNext = true }, false, 1},
+		{"answer lost after the write took effect", func(s *fakeStore) { s.loseNextAnswer = true }, true, 2},
+		{"write failed", func(s *fakeStore) { s.failNextWrite = true }, false, 1},
 		{"store down", func(s *fakeStore) { s.down = true }, false, 1},
 	} {
 		store := newFakeStore()
 		log := platform.NewChangeLog(store, fixedClock{})
-		if _, err := log.Append(ctx, putZone("a", false)); err != nil {
+		if _, err := log.Append(ctx, zoneEdit("a", false)); err != nil {
 			t.Fatal(err)
 		}
 		test.prepare(store)
-		change, err := log.Append(ctx, putZone("a", true))
+		change, err := log.Append(ctx, zoneEdit("a", true))
 		store.down = false
 		if (err == nil) != test.accepted {
 			t.Errorf("%s: got %v, want accepted %t", test.name, err, test.accepted)
@@ -138,27 +140,29 @@
 	}
 }
 
-func TestRacingOperators(t *testing.T) {
+// Another operator's change that is written between read and write must cause a
+// ConflictError if it changes the same object, and a retry otherwise.
+func TestAppendConcurrent(t *testing.T) {
 	ctx := context.Background()
 	for _, test := range []struct {
 		name     string
 		winner   platform.Edit
 		conflict bool
 	}{
-		{"same object", putZone("a", false), true},
-		{"other object", putZone("b", false), false},
+		{"same object", zoneEdit("a", false), true},
+		{"other object", zoneEdit("b", false), false},
 	} {
 		store := newFakeStore()
 		log := platform.NewChangeLog(store, fixedClock{})
-		if _, err := log.Append(ctx, putZone("a", false)); err != nil {
+		if _, err := log.Append(ctx, zoneEdit("a", false)); err != nil {
 			t.Fatal(err)
 		}
-		store.before = func() {
+		store.beforeWrite = func() {
 			if _, err := log.Append(ctx, test.winner); err != nil {
 				t.Error(err)
 			}
 		}
-		change, err := log.Append(ctx, putZone("a", true))
+		change, err := log.Append(ctx, zoneEdit("a", true))
 		var conflict *platform.ConflictError
 		if got := errors.As(err, &conflict); got != test.conflict {
 			t.Errorf("%s: got %v, want conflict %t", test.name, err, test.conflict)
@@ -172,15 +176,17 @@
 	}
 }
 
-func TestCorruptEntryUsesItsRevisionUp(t *testing.T) {
+// A log entry that is not valid JSON must occupy its revision without blocking
+// later changes.
+func TestCorruptEntryHasNoEffect(t *testing.T) {
 	ctx := context.Background()
 	store := newFakeStore()
 	log := platform.NewChangeLog(store, fixedClock{})
-	if _, err := log.Append(ctx, putZone("a", false)); err != nil {
+	if _, err := log.Append(ctx, zoneEdit("a", false)); err != nil {
 		t.Fatal(err)
 	}
 	store.entries["carawaycart/log/000000000002"] = carawaycart.StoreEntry{Key: "carawaycart/log/000000000002", Value: []byte("{"), Index: 9}
-	change, err := log.Append(ctx, putZone("a", true))
+	change, err := log.Append(ctx, zoneEdit("a", true))
 	if err != nil || change.Revision != 3 {
 		t.Fatalf("got revision %d, %v; want 3", change.Revision, err)
 	}
@@ -189,9 +195,9 @@
 	}
 }
 
-// Whatever faults hit the store, every change that was reported as accepted is
-// in the log exactly once, and nothing else is.
-func TestAppendHistories(t *testing.T) {
+// Under lost answers, failed writes and concurrent appends, the log must contain
+// every change reported as accepted exactly once, and no other change.
+func TestAppendRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
 		store := newFakeStore()
@@ -201,17 +207,17 @@
 		for i := range steps {
 			switch rapid.IntRange(0, 4).Draw(t, "fault") {
 			case 0:
-				store.loseNext = true
+				store.loseNextAnswer = true
 			case 1:
-				store.failNext = true
+				store.failNextWrite = true
 			case 2:
-				store.before = func() {
-					if c, err := log.Append(ctx, putZone("race", false)); err == nil {
+				store.beforeWrite = func() {
+					if c, err := log.Append(ctx, zoneEdit("race", false)); err == nil {
 						accepted[c.ID] = true
 					}
 				}
 			}
-			if c, err := log.Append(ctx, putZone(fmt.Sprintf("z%d", i%3), i%2 == 0)); err == nil {
+			if c, err := log.Append(ctx, zoneEdit(fmt.Sprintf("z%d", i%3), i%2 == 0)); err == nil {
 				accepted[c.ID] = true
 			}
 		}
@@ -221,7 +227,7 @@
 		}
 		for i, c := range changes {
 			if c.Revision != carawaycart.Revision(i+1) {
-				t.Fatalf("entry %d has revision %d", i, c.Revision)
+				t.Fatalf("entry %d has revision %d, want consecutive revisions from 1", i, c.Revision)
 			}
 			if !accepted[c.ID] {
 				t.Fatalf("revision %d is in the log but was not reported as accepted", c.Revision)
--- a/io/platform/rapid_test.go
+++ b/io/platform/rapid_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Property tests give the same verdict every run.
+// A fixed seed makes the property tests reproducible.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/io/platform/store.go
+++ b/io/platform/store.go
@@ -17,64 +17,66 @@
 )
 
 const (
-	// MaxValue is the largest value that the service holds, in bytes.
+	// MaxValue is the maximum size of a value in the store, in bytes.
 	MaxValue = 1 << 20
 
-	maxResponse    = 64 << 20
-	waitLimit      = 30 * time.Second
-	connectTimeout = 2 * time.Second
+	maxResponseBytes = 64 << 20
+	maxWait          = 30 * time.Second
+	responseMargin   = 2 * time.Second
 )
 
-// Store is a client of the key-value service; it is safe for concurrent use.
+// Store is a client of the key-value store. It is safe for concurrent use.
 type Store struct {
 	base   string
 	client *http.Client
-	called func()
+	onCall func()
 }
 
-// NewStore returns a client of the service at base, a URL without path, that
-// reports each call to called.
-func NewStore(base string, called func()) *Store {
-	return &Store{base: base, client: newClient(), called: called}
+// NewStore returns a client of the store at base, a URL without a path. It calls
+// onCall, which may be nil, before each request.
+func NewStore(base string, onCall func()) *Store {
+	return &Store{base: base, client: newClient(), onCall: onCall}
 }
 
 func newClient() *http.Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
 	transport.MaxIdleConnsPerHost = 4
-	transport.ResponseHeaderTimeout = waitLimit + connectTimeout
+	transport.ResponseHeaderTimeout = maxWait + responseMargin
 	return &http.Client{Transport: transport}
 }
 
-// Get returns the entry at key; the error is NotFound if there is none.
+// Get returns the entry at key. The error is NotFound if there is none.
 func (s *Store) Get(ctx context.Context, key string) (carawaycart.StoreEntry, error) {
-	return s.entry(ctx, key, url.Values{})
+	return s.getEntry(ctx, key, url.Values{})
 }
 
-// Wait returns the entry at key once its index exceeds index; the error is
-// NotFound if the service's time limit passes first and there is none.
+// Wait returns the entry at key once its modify index exceeds index. If the store's
+// time limit passes first, it returns the entry as it is, or a NotFound error if
+// there is none.
 func (s *Store) Wait(ctx context.Context, key string, index carawaycart.StoreIndex) (carawaycart.StoreEntry, error) {
-	return s.entry(ctx, key, url.Values{
+	return s.getEntry(ctx, key, url.Values{
 		"index": {strconv.FormatUint(uint64(index), 10)},
-		"wait":  {waitLimit.String()},
+		"wait":  {maxWait.String()},
 	})
 }
 
-func (s *Store) entry(ctx context.Context, key string, query url.Values) (carawaycart.StoreEntry, error) {
+func (s *Store) getEntry(ctx context.Context, key string, query url.Values) (carawaycart.StoreEntry, error) {
 	var e carawaycart.StoreEntry
 	err := s.call(ctx, http.MethodGet, "/v1/kv/"+key, query, nil, &e)
 	return e, err
 }
 
-// List returns the entries whose keys begin with prefix, in key order.
+// List returns the entries whose keys have the given prefix, in key order.
 func (s *Store) List(ctx context.Context, prefix string) ([]carawaycart.StoreEntry, error) {
 	var entries []carawaycart.StoreEntry
 	err := s.call(ctx, http.MethodGet, "/v1/kv/"+prefix, url.Values{"recurse": {"true"}}, nil, &entries)
 	return entries, err
 }
 
-// CompareAndSwap writes value at key if the entry's index equals index, zero
-// for an absent one, and reports whether it did.
+// CompareAndSwap writes value at key if the entry's modify index equals index
+// and reports whether it did. The index of an absent entry is zero. The error is
+// NotValid if value is longer than MaxValue.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, value []byte, index carawaycart.StoreIndex) (bool, error) {
 	if len(value) > MaxValue {
 		return false, errors.NotValidf("value of %d bytes at key %s (limit %d)", len(value), key, MaxValue)
@@ -89,21 +91,21 @@
 	target := s.base + path + "?" + query.Encode()
 	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
-		return errors.Annotatef(err, "request %s", target)
+		return errors.Annotatef(err, "create request for %s", target)
 	}
-	if s.called != nil {
-		s.called()
+	if s.onCall != nil {
+		s.onCall()
 	}
 	response, err := s.client.Do(request)
 	if err != nil {
-		return errors.Annotatef(err, "%s of store %s", method, s.base)
+		return errors.Annotatef(err, "%s request to store %s", method, s.base)
 	}
 	defer func() { _ = response.Body.Close() }()
 	return errors.Annotatef(decodeResponse(response, result), "%s %s of store %s", method, path, s.base)
 }
 
 func decodeResponse(response *http.Response, result any) error {
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return errors.Annotate(err, "read response")
 	}
@@ -116,26 +118,26 @@
 	return errors.New(fmt.Sprintf("status %d", response.StatusCode))
 }
 
-// List is a client of the platform's instance list.
+// List is a client of the platform's list of instances.
 type List struct {
 	base   string
 	client *http.Client
 }
 
-// NewList returns a client of the list at base, a URL without path.
+// NewList returns a client of the list at base, a URL without a path.
 func NewList(base string) *List { return &List{base: base, client: newClient()} }
 
 // Instances returns the listed balancer instances.
 func (l *List) Instances(ctx context.Context) ([]carawaycart.ListedInstance, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, l.base+"/v1/instances", nil)
 	if err != nil {
-		return nil, errors.Annotatef(err, "request of list %s", l.base)
+		return nil, errors.Annotatef(err, "create request for instance list %s", l.base)
 	}
 	response, err := l.client.Do(request)
 	if err != nil {
-		return nil, errors.Annotatef(err, "get list %s", l.base)
+		return nil, errors.Annotatef(err, "get instance list %s", l.base)
 	}
 	defer func() { _ = response.Body.Close() }()
 	var instances []carawaycart.ListedInstance
-	return instances, errors.Annotatef(decodeResponse(response, &instances), "get list %s", l.base)
+	return instances, errors.Annotatef(decodeResponse(response, &instances), "get instance list %s", l.base)
 }
