--- a/io/caller/query.go
+++ b/io/caller/query.go
@@ -14,27 +14,28 @@
 // Headers of requests.
 const (
 	KeyHeader     = "Idempotency-Key"
-	TimeoutHeader = "Request-Timeout-Ms" // milliseconds that the caller will wait
+	TimeoutHeader = "Request-Timeout-Ms" // time until the caller gives up, in milliseconds
 	RequestHeader = "Request-Id"
 )
 
 const (
-	maxKey     = 255             // bytes
-	maxTimeout = 3_600_000       // milliseconds
-	maxHeaders = 64 << 10        // bytes
-	readLimit  = 5 * time.Second // to read a request's headers
-	idleLimit  = time.Minute     // between requests of one connection
+	maxKeyBytes       = 255
+	maxTimeoutMillis  = 3_600_000 // one hour
+	maxHeaderBytes    = 64 << 10
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = time.Minute // between requests on one connection
 )
 
-// Query is what a request asks of the balancer.
+// Query holds the parameters of a request that the balancer acts on.
 type Query struct {
-	Service    carawaycart.ServiceID
-	Key        carawaycart.IdempotencyKey // empty if the caller gave none
-	Idempotent bool                       // by its method
-	Deadline   time.Time                  // zero if the caller gave none
+	Service    carawaycart.ServiceID      // host name of the request, in lower case
+	Key        carawaycart.IdempotencyKey // empty if the caller set none
+	Idempotent bool                       // whether the HTTP method is idempotent
+	Deadline   time.Time                  // zero if the caller set none
 }
 
-// ReadQuery reads the query of r, which arrived at now; the error is NotValid.
+// ReadQuery parses the parameters of r, which arrived at now. The error is
+// NotValid.
 func ReadQuery(r *http.Request, now time.Time) (Query, error) {
 	q := Query{Service: carawaycart.ServiceID(strings.ToLower(hostName(r.Host)))}
 	switch r.Method {
@@ -44,21 +45,21 @@
 	default:
 		return q, errors.NotValidf("method %q", r.Method)
 	}
-	key, err := single(r, KeyHeader)
+	key, err := singleHeader(r, KeyHeader)
 	if err != nil {
 		return q, err
 	}
-	if len(key) > maxKey || !printable(key) {
-		return q, errors.NotValidf("%s of %d bytes (want at most %d printable ASCII)", KeyHeader, len(key), maxKey)
+	if len(key) > maxKeyBytes || !isPrintableASCII(key) {
+		return q, errors.NotValidf("%s of %d bytes (want at most %d printable ASCII)", KeyHeader, len(key), maxKeyBytes)
 	}
 	q.Key = carawaycart.IdempotencyKey(key)
-	timeout, err := single(r, TimeoutHeader)
+	timeout, err := singleHeader(r, TimeoutHeader)
 	if err != nil || timeout == "" {
 		return q, err
 	}
 	ms, err := strconv.Atoi(timeout)
-	if err != nil || ms <= 0 || ms > maxTimeout {
-		return q, errors.NotValidf("%s %q (want 1 to %d)", TimeoutHeader, timeout, maxTimeout)
+	if err != nil || ms <= 0 || ms > maxTimeoutMillis {
+		return q, errors.NotValidf("%s %q (want 1 to %d)", TimeoutHeader, timeout, maxTimeoutMillis)
 	}
 	q.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	return q, nil
@@ -69,7 +70,9 @@
 	return name
 }
 
-func single(r *http.Request, header string) (string, error) {
+// singleHeader returns the value of header, or "" if it is absent. A repeated or
+// an empty header is NotValid.
+func singleHeader(r *http.Request, header string) (string, error) {
 	values := r.Header.Values(header)
 	if len(values) > 1 {
 		return "", errors.NotValidf("%d %s headers", len(values), header)
@@ -80,7 +83,7 @@
 	return r.Header.Get(header), nil
 }
 
-func printable(s string) bool {
+func isPrintableASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' || s[i] > '~' {
 			return false
@@ -89,13 +92,14 @@
 	return true
 }
 
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// CopyHeaders copies to dst the headers of src that are passed on.
+// CopyHeaders copies the headers of src to dst, except for the hop-by-hop headers
+// and those listed in the Connection header.
 func CopyHeaders(dst, src http.Header) {
 	var listed []string
 	for _, v := range src.Values("Connection") {
@@ -104,7 +108,7 @@
 	for k, v := range src {
 		dst[k] = append([]string(nil), v...)
 	}
-	for _, k := range append(listed, hopHeaders...) {
+	for _, k := range append(listed, hopByHopHeaders...) {
 		dst.Del(strings.TrimSpace(k))
 	}
 }
--- a/io/caller/query_test.go
+++ b/io/caller/query_test.go
@@ -12,7 +12,7 @@
 	"carawaycart/io/caller"
 )
 
-var start = time.Unix(1000, 0)
+var arrival = time.Unix(1000, 0)
 
 func TestReadQuery(t *testing.T) {
 	for _, test := range []struct {
@@ -21,7 +21,7 @@
 		header http.Header
 		valid  bool
 	}{
-		{"plain", "GET", nil, true},
+		{"no headers", "GET", nil, true},
 		{"keyed", "POST", http.Header{"Idempotency-Key": {"order-1"}}, true},
 		{"two keys", "POST", http.Header{"Idempotency-Key": {"a", "b"}}, false},
 		{"empty key", "POST", http.Header{"Idempotency-Key": {""}}, false},
@@ -30,33 +30,33 @@
 		{"time limit", "POST", http.Header{"Request-Timeout-Ms": {"250"}}, true},
 		{"two time limits", "POST", http.Header{"Request-Timeout-Ms": {"250", "300"}}, false},
 		{"negative time limit", "POST", http.Header{"Request-Timeout-Ms": {"-1"}}, false},
-		{"absurd time limit", "POST", http.Header{"Request-Timeout-Ms": {"99999999999999999999"}}, false},
-		{"tunnel", "CONNECT", nil, false},
+		{"overflowing time limit", "POST", http.Header{"Request-Timeout-Ms": {"99999999999999999999"}}, false},
+		{"unsupported method", "CONNECT", nil, false},
 	} {
 		r := httptest.NewRequest(test.method, "http://desk/order", nil)
 		for k, v := range test.header {
 			r.Header[k] = v
 		}
-		q, err := caller.ReadQuery(r, start)
+		q, err := caller.ReadQuery(r, arrival)
 		if test.valid && (err != nil || q.Service != "desk") {
-			t.Errorf("%s: got %+v, %v; want it accepted", test.name, q, err)
+			t.Errorf("%s: got %+v, %v; want service desk", test.name, q, err)
 		}
 		if !test.valid && !errors.Is(err, errors.NotValid) {
-			t.Errorf("%s: got %v, want an error that is NotValid", test.name, err)
+			t.Errorf("%s: got %v, want a NotValid error", test.name, err)
 		}
 	}
 }
 
-func TestDeadlineIsStored(t *testing.T) {
+func TestReadQueryDeadline(t *testing.T) {
 	r := httptest.NewRequest("GET", "http://desk/", nil)
 	r.Header.Set(caller.TimeoutHeader, "250")
-	q, err := caller.ReadQuery(r, start)
-	if want := start.Add(250 * time.Millisecond); err != nil || !q.Deadline.Equal(want) {
+	q, err := caller.ReadQuery(r, arrival)
+	if want := arrival.Add(250 * time.Millisecond); err != nil || !q.Deadline.Equal(want) {
 		t.Errorf("got %v, %v; want %v", q.Deadline, err, want)
 	}
 }
 
-func TestCopyHeadersDropsThoseOfTheConnection(t *testing.T) {
+func TestCopyHeadersDropsHopByHop(t *testing.T) {
 	src := http.Header{
 		"Connection": {"keep-alive, X-Hop"}, "X-Hop": {"1"}, "Transfer-Encoding": {"chunked"},
 		"Upgrade": {"websocket"}, "X-End": {"1"},
@@ -64,7 +64,7 @@
 	dst := http.Header{}
 	caller.CopyHeaders(dst, src)
 	if len(dst) != 1 || dst.Get("X-End") != "1" {
-		t.Errorf("got %v, want X-End alone", dst)
+		t.Errorf("got %v, want only X-End", dst)
 	}
 }
 
@@ -75,8 +75,8 @@
 		r.Method, r.Host = method, host
 		r.Header[caller.KeyHeader] = []string{key}
 		r.Header[caller.TimeoutHeader] = []string{timeout}
-		q, err := caller.ReadQuery(r, start)
-		if err == nil && (!q.Deadline.After(start) || q.Key == "") {
+		q, err := caller.ReadQuery(r, arrival)
+		if err == nil && (!q.Deadline.After(arrival) || q.Key == "") {
 			t.Errorf("accepted %q %q %q with deadline %v", method, key, timeout, q.Deadline)
 		}
 	})
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -8,20 +8,20 @@
 	"github.com/juju/errors"
 )
 
-// Server accepts requests of callers.
+// Server is an HTTP server for callers.
 type Server struct {
 	http *http.Server
 	done chan struct{}
 }
 
-// NewServer serves handler on listener until Stop.
+// NewServer serves handler on listener until Stop or Close.
 func NewServer(listener net.Listener, handler http.Handler) *Server {
 	s := &Server{
 		http: &http.Server{
 			Handler:           handler,
-			ReadHeaderTimeout: readLimit,
-			IdleTimeout:       idleLimit,
-			MaxHeaderBytes:    maxHeaders,
+			ReadHeaderTimeout: readHeaderTimeout,
+			IdleTimeout:       idleTimeout,
+			MaxHeaderBytes:    maxHeaderBytes,
 		},
 		done: make(chan struct{}),
 	}
@@ -32,8 +32,8 @@
 	return s
 }
 
-// Stop accepts no more requests and waits for those that are running, until
-// ctx ends; then it cuts them off.
+// Stop stops accepting requests and waits for running ones. When ctx ends first,
+// it closes their connections and returns an error.
 func (s *Server) Stop(ctx context.Context) error {
 	err := s.http.Shutdown(ctx)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return errors.Annotate(err, "stop request server")
 }
 
-// Close cuts all requests off.
+// Close closes all connections, including those with running requests.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	<-s.done
