--- a/io/endpoint/doc.go
+++ b/io/endpoint/doc.go
@@ -1,3 +1,3 @@
-// Package endpoint speaks to endpoints: it fetches their load reports and sends
-// them requests. Packets of flows reach endpoints by way of package fabric.
+// Package endpoint implements the HTTP client for endpoints, which fetches load
+// reports and forwards requests. Package fabric forwards the packets of flows.
 package endpoint
