--- a/io/operator/flow.go
+++ b/io/operator/flow.go
@@ -8,8 +8,9 @@
 	"carawaycart"
 )
 
-// ParseFlow returns the key of the flow of the named protocol, "tcp" or "udp",
-// from address caller to address service; the error is NotValid.
+// ParseFlow returns the key of the flow from address caller to address service,
+// both as IP:PORT. The protocol is "tcp", "udp" or empty for TCP. The error is
+// NotValid.
 func ParseFlow(protocol, caller, service string) (carawaycart.FlowKey, error) {
 	var k carawaycart.FlowKey
 	switch protocol {
--- a/io/operator/metrics.go
+++ b/io/operator/metrics.go
@@ -11,44 +11,45 @@
 
 const metricPrefix = "carawaycart_"
 
-// WriteMetrics writes the counters and gauges of r in the Prometheus text
-// format. A name "a.b" becomes metric "a" with the label kind "b".
+// WriteMetrics writes the counters, gauges and histograms of r in the Prometheus
+// text format; a histogram becomes a summary. A counter or gauge named "a.b"
+// becomes metric "a" with the label kind="b".
 func WriteMetrics(w io.Writer, r metrics.Registry) {
-	kinds := make(map[string]string)
+	types := make(map[string]string)
 	lines := make(map[string][]string)
 	r.Each(func(name string, m any) {
-		base, label, labelled := strings.Cut(name, ".")
+		base, label, hasLabel := strings.Cut(name, ".")
 		var value int64
 		switch m := m.(type) {
 		case metrics.Counter:
-			kinds[base], value = "counter", m.Count()
+			types[base], value = "counter", m.Count()
 		case metrics.Gauge:
-			kinds[base], value = "gauge", m.Value()
+			types[base], value = "gauge", m.Value()
 		case metrics.Histogram:
-			kinds[base] = "summary"
+			types[base] = "summary"
 			lines[base] = histogramLines(base, m.Snapshot())
 			return
 		default:
 			return
 		}
 		line := fmt.Sprintf("%s%s %d", metricPrefix, base, value)
-		if labelled {
+		if hasLabel {
 			line = fmt.Sprintf("%s%s{kind=%q} %d", metricPrefix, base, label, value)
 		}
 		lines[base] = append(lines[base], line)
 	})
-	bases := make([]string, 0, len(lines))
+	names := make([]string, 0, len(lines))
 	for base := range lines {
-		bases = append(bases, base)
+		names = append(names, base)
 	}
-	sort.Strings(bases)
-	for _, base := range bases {
+	sort.Strings(names)
+	for _, base := range names {
 		sort.Strings(lines[base])
-		_, _ = fmt.Fprintf(w, "# TYPE %s%s %s\n%s\n", metricPrefix, base, kinds[base], strings.Join(lines[base], "\n"))
+		_, _ = fmt.Fprintf(w, "# TYPE %s%s %s\n%s\n", metricPrefix, base, types[base], strings.Join(lines[base], "\n"))
 	}
 }
 
-// quantiles are those that are written of a histogram.
+// quantiles are the quantiles written for each histogram.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
 func histogramLines(base string, h metrics.Histogram) []string {
--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -11,9 +11,9 @@
 	"carawaycart"
 )
 
-const readLimit = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
 
-// Status is what an instance tells operators about itself and the fleet.
+// Status is the status of an instance and its view of the fleet.
 type Status struct {
 	Instance  carawaycart.InstanceID `json:"instance"`
 	Zone      carawaycart.ZoneID     `json:"zone"`
@@ -25,7 +25,7 @@
 	Alarms    []string               `json:"alarms"`
 }
 
-// MemberStatus is one instance as the asked one sees it.
+// MemberStatus is the status of one instance in the view of the instance queried.
 type MemberStatus struct {
 	ID       carawaycart.InstanceID `json:"id"`
 	Zone     carawaycart.ZoneID     `json:"zone"`
@@ -33,7 +33,8 @@
 	Revision carawaycart.Revision   `json:"revision"`
 }
 
-// EndpointStatus is one endpoint as the asked instance sees it.
+// EndpointStatus is the status of one endpoint in the view of the instance
+// queried.
 type EndpointStatus struct {
 	ID      carawaycart.EndpointID   `json:"id"`
 	Service carawaycart.ServiceID    `json:"service"`
@@ -44,15 +45,15 @@
 	Keeper  carawaycart.InstanceID   `json:"keeper"`
 }
 
-// ServiceStatus is one service as the asked instance sees it.
+// ServiceStatus is the status of one service in the view of the instance queried.
 type ServiceStatus struct {
 	ID         carawaycart.ServiceID   `json:"id"`
 	Profile    carawaycart.ProfileName `json:"profile"`
 	Slots      int                     `json:"slots"`
-	DirtySlots int                     `json:"dirtySlots"`
+	DirtySlots int                     `json:"dirtySlots"` // slots whose base and current endpoints differ
 }
 
-// FlowExplanation tells where a flow's packets go and why.
+// FlowExplanation describes where the packets of a flow are forwarded and why.
 type FlowExplanation struct {
 	Service   carawaycart.ServiceID  `json:"service"`
 	Slot      carawaycart.SlotIndex  `json:"slot"`
@@ -60,40 +61,42 @@
 	Base      carawaycart.EndpointID `json:"base"`
 	Current   carawaycart.EndpointID `json:"current"`
 	Keeper    carawaycart.InstanceID `json:"keeper"`
-	Clean     bool                   `json:"clean"`
-	Record    carawaycart.EndpointID `json:"record,omitempty"`
-	OpenedAt  time.Time              `json:"openedAt,omitzero"`
-	Rule      string                 `json:"rule"`
-	DecidedBy carawaycart.InstanceID `json:"decidedBy"`
+	Clean     bool                   `json:"clean"`             // whether packets are forwarded without asking the keeper
+	Record    carawaycart.EndpointID `json:"record,omitempty"`  // endpoint in the flow's record, empty if there is none
+	OpenedAt  time.Time              `json:"openedAt,omitzero"` // from the flow's record
+	Rule      string                 `json:"rule"`              // the rule that selects the endpoint, in words
+	DecidedBy carawaycart.InstanceID `json:"decidedBy"`         // the instance queried
 }
 
-// KeyExplanation tells what is known of a keyed request.
+// KeyExplanation describes what the instance knows about a keyed request.
 type KeyExplanation struct {
 	Key      carawaycart.IdempotencyKey `json:"key"`
 	Keeper   carawaycart.InstanceID     `json:"keeper"`
 	Replicas []carawaycart.InstanceID   `json:"replicas"`
-	Held     bool                       `json:"held"`
+	Held     bool                       `json:"held"` // whether the instance queried holds a claim with this key
 	State    string                     `json:"state,omitempty"`
-	Entry    carawaycart.InstanceID     `json:"entry,omitempty"`
+	Entry    carawaycart.InstanceID     `json:"entry,omitempty"` // the instance that received the request
 }
 
-// Handler answers operators.
+// Handler answers the queries of operators.
 type Handler interface {
 	// Status returns the status of the instance.
 	Status() Status
-	// ExplainFlow returns where packets of key go; the error is NotFound.
+	// ExplainFlow returns where the packets of the flow key are forwarded. The
+	// error is NotFound.
 	ExplainFlow(key carawaycart.FlowKey) (FlowExplanation, error)
-	// ExplainKey returns what is known of key.
+	// ExplainKey returns what the instance knows about the request with key.
 	ExplainKey(key carawaycart.IdempotencyKey) KeyExplanation
 }
 
-// Server serves operators over HTTP.
+// Server is the HTTP server for operators.
 type Server struct {
 	http *http.Server
 	done chan struct{}
 }
 
-// NewServer serves handler and the metrics of registry on listener until Close.
+// NewServer serves the answers of handler and the metrics of registry on listener
+// until Close.
 func NewServer(listener net.Listener, handler Handler, registry metrics.Registry) *Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -117,7 +120,7 @@
 	mux.HandleFunc("GET /explain/key", func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, handler.ExplainKey(carawaycart.IdempotencyKey(r.FormValue("key"))))
 	})
-	s := &Server{http: &http.Server{Handler: mux, ReadHeaderTimeout: readLimit}, done: make(chan struct{})}
+	s := &Server{http: &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}, done: make(chan struct{})}
 	go func() {
 		defer close(s.done)
 		_ = s.http.Serve(listener)
@@ -132,7 +135,7 @@
 	_ = e.Encode(v)
 }
 
-// Close stops the server.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	<-s.done
