--- a/io/socket/doc.go
+++ b/io/socket/doc.go
@@ -1,2 +1,2 @@
-// Package socket opens the listening sockets of an instance.
+// Package socket opens the TCP and UDP sockets on which an instance listens.
 package socket
--- a/io/socket/socket.go
+++ b/io/socket/socket.go
@@ -10,22 +10,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen returns a listener for TCP connections at a; name says what for in errors.
+// Listen returns a listener for TCP connections at a. Errors contain name, the
+// purpose of the listener.
 func Listen(a netip.AddrPort, name string) (net.Listener, error) {
 	l, err := net.Listen("tcp", a.String())
 	return l, errors.Annotatef(err, "listen for %s", name)
 }
 
-// ListenUDP returns a UDP socket at a whose receive buffer has the given number of
-// bytes, or the kernel's default for zero; name says what for in errors.
-func ListenUDP(a netip.AddrPort, name string, buffer int) (*net.UDPConn, error) {
+// ListenUDP returns a UDP socket at a and requests a receive buffer of the given
+// number of bytes, or the kernel's default for zero. Errors contain name, the
+// purpose of the socket.
+func ListenUDP(a netip.AddrPort, name string, bufferBytes int) (*net.UDPConn, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		if buffer == 0 {
+		if bufferBytes == 0 {
 			return nil
 		}
 		return raw.Control(func(fd uintptr) {
-			// The kernel caps the size silently, so a failure changes nothing.
-			_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, buffer)
+			// The kernel may reduce the size without an error, so the size is best
+			// effort and errors are ignored too.
+			_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, bufferBytes)
 		})
 	}}
 	network := "udp6"
--- a/io/socket/socket_test.go
+++ b/io/socket/socket_test.go
@@ -9,7 +9,9 @@
 	"carawaycart/io/socket"
 )
 
-func TestAnAddressThatIsTakenIsNamed(t *testing.T) {
+// Listening on an address in use must return an error with the name of the
+// socket.
+func TestListenErrorContainsName(t *testing.T) {
 	any := netip.MustParseAddrPort("127.0.0.1:0")
 	l, err := socket.Listen(any, "peer")
 	if err != nil {
@@ -17,15 +19,15 @@
 	}
 	defer func() { _ = l.Close() }()
 	if _, err := socket.Listen(l.Addr().(*net.TCPAddr).AddrPort(), "peer"); err == nil || !strings.Contains(err.Error(), "listen for peer") {
-		t.Errorf("got error %v, want one that names the peer socket", err)
+		t.Errorf("got error %v, want it to contain \"listen for peer\"", err)
 	}
-	for _, buffer := range []int{0, 1 << 16} {
-		c, err := socket.ListenUDP(any, "fabric", buffer)
+	for _, bufferBytes := range []int{0, 1 << 16} {
+		c, err := socket.ListenUDP(any, "fabric", bufferBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := socket.ListenUDP(c.LocalAddr().(*net.UDPAddr).AddrPort(), "fabric", buffer); err == nil || !strings.Contains(err.Error(), "listen for fabric") {
-			t.Errorf("buffer of %d: got error %v, want one that names the fabric socket", buffer, err)
+		if _, err := socket.ListenUDP(c.LocalAddr().(*net.UDPAddr).AddrPort(), "fabric", bufferBytes); err == nil || !strings.Contains(err.Error(), "listen for fabric") {
+			t.Errorf("buffer of %d bytes: got error %v, want it to contain \"listen for fabric\"", bufferBytes, err)
 		}
 		_ = c.Close()
 	}
