--- a/message/convert.go
+++ b/message/convert.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// ToMember returns the member that m states; the error is NotValid.
+// ToMember returns the member that m describes. The error is NotValid.
 func ToMember(m *Member) (carawaycart.Member, error) {
 	address, err := netip.ParseAddrPort(m.GetPeerAddress())
 	if err != nil || m.GetId() == "" || m.GetState() > uint32(carawaycart.MemberDead) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// ToStatus returns the status that s states; the error is NotValid.
+// ToStatus returns the status that s describes. The error is NotValid.
 func ToStatus(s *EndpointStatus) (carawaycart.EndpointStatus, error) {
 	if s.GetEndpoint() == "" || s.GetState() > uint32(carawaycart.EndpointDead) {
 		return carawaycart.EndpointStatus{}, errors.NotValidf("status of endpoint %q in state %d", s.GetEndpoint(), s.GetState())
@@ -49,7 +49,8 @@
 	}, nil
 }
 
-// FromRecords returns the batch that replicates records and the ends of flows.
+// FromRecords returns a batch with records, grouped by service, and the
+// fingerprints of ended flows.
 func FromRecords(records []carawaycart.FlowRecord, ended []carawaycart.Fingerprint) *RecordBatch {
 	b := &RecordBatch{}
 	groups := make(map[carawaycart.ServiceID]*RecordGroup)
@@ -60,7 +61,7 @@
 			groups[r.Service] = g
 			b.Groups = append(b.Groups, g)
 		}
-		g.Endpoint = append(g.Endpoint, endpointIndex(g, string(r.Endpoint)))
+		g.Endpoint = append(g.Endpoint, internEndpoint(g, string(r.Endpoint)))
 		g.Fingerprints = append(g.Fingerprints, uint64(r.Fingerprint))
 		g.Revision = append(g.Revision, uint64(r.Revision))
 		g.OpenedUnix = append(g.OpenedUnix, r.OpenedUnix)
@@ -71,7 +72,9 @@
 	return b
 }
 
-func endpointIndex(g *RecordGroup, endpoint string) uint32 {
+// internEndpoint returns the index of endpoint in g.Endpoints and appends it if
+// it is absent.
+func internEndpoint(g *RecordGroup, endpoint string) uint32 {
 	for i, e := range g.Endpoints {
 		if e == endpoint {
 			return uint32(i)
@@ -81,7 +84,8 @@
 	return uint32(len(g.Endpoints) - 1)
 }
 
-// ToRecords returns the records and ends of flows of b; the error is NotValid.
+// ToRecords returns the records of b and the fingerprints of ended flows. The
+// error is NotValid.
 func ToRecords(b *RecordBatch) ([]carawaycart.FlowRecord, []carawaycart.Fingerprint, error) {
 	var records []carawaycart.FlowRecord
 	for _, g := range b.GetGroups() {
@@ -117,7 +121,7 @@
 	}
 }
 
-// ToClaim returns the claim that c states; the error is NotValid.
+// ToClaim returns the claim that c describes. The error is NotValid.
 func ToClaim(c *Claim) (carawaycart.Claim, error) {
 	if c.GetKey() == "" || c.GetState() > uint32(carawaycart.ClaimUnknown) {
 		return carawaycart.Claim{}, errors.NotValidf("claim %q in state %d", c.GetKey(), c.GetState())
--- a/message/convert_test.go
+++ b/message/convert_test.go
@@ -18,7 +18,7 @@
 	}
 	got, ended, err := message.ToRecords(message.FromRecords(want, []carawaycart.Fingerprint{9}))
 	if err != nil || len(ended) != 1 || ended[0] != 9 || len(got) != len(want) {
-		t.Fatalf("got %v, %v, %v", got, ended, err)
+		t.Fatalf("got records %v, ended %v, error %v; want the records and ended flow encoded", got, ended, err)
 	}
 	for i := range want {
 		if got[i] != want[i] {
@@ -27,8 +27,9 @@
 	}
 }
 
+// Guards the control traffic budget against a larger encoding of flow records.
 func TestRecordBytes(t *testing.T) {
-	const limit = 24 // bytes per record that the control budget allows
+	const limit = 24 // bytes per record that the budget for control traffic allows
 	var records []carawaycart.FlowRecord
 	for i := range 1000 {
 		records = append(records, carawaycart.FlowRecord{
@@ -66,22 +67,24 @@
 	})
 }
 
-func TestConversionSurvivesDamage(t *testing.T) {
+// Guards against panics on batches that decode as protobuf but have inconsistent
+// lengths or indices.
+func TestToRecordsMutatedBatches(t *testing.T) {
 	records, err := proto.Marshal(message.FromRecords([]carawaycart.FlowRecord{{Service: "s", Endpoint: "e", Fingerprint: 5}}, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := 0
+	rejected := 0
 	mutate.Each(1, 20000, [][]byte{records}, func(data []byte) {
 		var b message.RecordBatch
 		if proto.Unmarshal(data, &b) != nil {
 			return
 		}
 		if _, _, err := message.ToRecords(&b); err != nil {
-			refused++
+			rejected++
 		}
 	})
-	if refused == 0 {
-		t.Error("no damaged batch was refused, so the test shows too little")
+	if rejected == 0 {
+		t.Error("no mutated batch was rejected, so the test does not cover invalid batches")
 	}
 }
--- a/message/directory.go
+++ b/message/directory.go
@@ -13,8 +13,9 @@
 	"carawaycart/core/directory"
 )
 
-// maxBody bounds an uncompressed DirectoryBody, in bytes.
-const maxBody = 64 << 20
+// maxBodyBytes is the maximum size of an uncompressed DirectoryBody, in bytes. It
+// limits the memory that a compressed body can occupy.
+const maxBodyBytes = 64 << 20
 
 // FromItems returns the messages for items.
 func FromItems(items []carawaycart.StoreItem) []*StoreItem {
@@ -25,7 +26,7 @@
 	return messages
 }
 
-// ToItems returns the items that messages state.
+// ToItems returns the items in messages.
 func ToItems(messages []*StoreItem) []carawaycart.StoreItem {
 	items := make([]carawaycart.StoreItem, len(messages))
 	for i, m := range messages {
@@ -34,7 +35,7 @@
 	return items
 }
 
-// ToDifference returns the changes that n tells.
+// ToDifference returns the delta in n.
 func ToDifference(n *DirectoryNews) directory.Difference {
 	return directory.Difference{
 		From: carawaycart.StoreRevision(n.GetFromRevision()), To: carawaycart.StoreRevision(n.GetToRevision()),
@@ -42,8 +43,8 @@
 	}
 }
 
-// FromCopy returns the message for c, which was confirmed by the store a time
-// of age ago.
+// FromCopy returns the message for the snapshot c, which the store confirmed age
+// ago.
 func FromCopy(c directory.Copy, age time.Duration) (*DirectoryCopy, error) {
 	body := &DirectoryBody{Items: FromItems(c.Items), Keys: c.Keys}
 	for _, k := range c.Ended {
@@ -67,15 +68,15 @@
 	return &DirectoryCopy{AtRevision: uint64(c.At), AgeMs: uint32(age.Milliseconds()), CompressedBody: b.Bytes()}, nil
 }
 
-// ToCopy returns the copy that m holds; the error is NotValid.
+// ToCopy returns the snapshot in m. The error is NotValid.
 func ToCopy(m *DirectoryCopy) (directory.Copy, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(m.GetCompressedBody())), maxBody))
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(m.GetCompressedBody())), maxBodyBytes))
 	if err != nil {
-		return directory.Copy{}, errors.NewNotValid(err, "compressed copy of directory")
+		return directory.Copy{}, errors.NewNotValid(err, "compressed directory snapshot")
 	}
 	body := &DirectoryBody{}
 	if err := proto.Unmarshal(data, body); err != nil {
-		return directory.Copy{}, errors.NewNotValid(err, "copy of directory")
+		return directory.Copy{}, errors.NewNotValid(err, "directory snapshot")
 	}
 	c := directory.Copy{At: carawaycart.StoreRevision(m.GetAtRevision()), Items: ToItems(body.GetItems()), Keys: body.GetKeys()}
 	for _, e := range body.GetEnded() {
