--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -30,24 +30,24 @@
 }
 
 // At returns the revision up to which the directory is complete, or zero before
-// the first read.
+// the first read or snapshot.
 func (d *Directory) At() carawaycart.StoreRevision { return d.revision }
 
 // Refused returns the number of items received so far that could not be decoded.
 func (d *Directory) Refused() int { return d.decodeFailures }
 
-// Difference is the delta between two revisions of the store.
+// Difference is the set of changes between two revisions of the store.
 type Difference struct {
 	From, To carawaycart.StoreRevision
-	Items    []carawaycart.StoreItem // written since From
-	Missing  []string                // keys removed since From
+	Items    []carawaycart.StoreItem // items written after From
+	Missing  []string                // keys of the items removed after From
 }
 
 // Empty reports whether the delta changes no item.
 func (d *Difference) Empty() bool { return len(d.Items) == 0 && len(d.Missing) == 0 }
 
-// Replace applies a full read of the store at revision at and returns the delta.
-// A read older than the directory is ignored, and its delta is empty.
+// Replace applies a full read of the store at a revision and returns the changes
+// that it made. A read older than the directory is ignored, and its delta is empty.
 func (d *Directory) Replace(items []carawaycart.StoreItem, revision carawaycart.StoreRevision) Difference {
 	delta := Difference{From: d.revision, To: d.revision}
 	if revision < d.revision {
@@ -66,8 +66,9 @@
 	return delta
 }
 
-// removeAbsent removes the items that are not present at a revision and returns
-// their keys, sorted. It retains items written after that revision.
+// removeAbsent removes the items whose keys are not in present, the set of all
+// keys at a revision, and returns the removed keys, sorted. It retains items
+// written after that revision.
 func (d *Directory) removeAbsent(present map[string]struct{}, revision carawaycart.StoreRevision) []string {
 	var removed []string
 	for key, e := range d.items {
@@ -84,9 +85,9 @@
 // delta.To. It returns false and changes nothing if the directory is older
 // than delta.From.
 //
-// A delta omits items that were both written and removed within its range, but
-// the directory may hold them. Items that were written within the range and are
-// not in the delta are therefore removed.
+// A delta omits items that were both written and removed between From and To, but
+// a directory newer than From may hold them. Its items that were written between
+// the two and are not in the delta are therefore removed.
 func (d *Directory) Apply(delta Difference) bool {
 	switch {
 	case delta.To <= d.revision:
@@ -115,51 +116,51 @@
 	return true
 }
 
-// Copy is a snapshot for a peer that is complete up to an earlier revision: the
-// items written since, the keys of all items, and the recently ended lifetimes,
-// which the store does not list.
+// Copy is a snapshot of a directory, reduced to what a peer needs whose own
+// directory is complete up to an earlier revision.
 type Copy struct {
-	At    carawaycart.StoreRevision
-	Items []carawaycart.StoreItem
-	Keys  []string
-	Ended []carawaycart.LifetimeKey
+	At    carawaycart.StoreRevision // revision up to which the snapshot is complete
+	Items []carawaycart.StoreItem   // items written after the peer's revision
+	Keys  []string                  // keys of all items
+	Ended []carawaycart.LifetimeKey // recently ended lifetimes, which the store does not list
 }
 
-// Since returns the snapshot for a peer that is complete up to revision r, with
-// items and keys sorted by key. It leaves Ended empty.
+// Since returns the snapshot for a peer whose directory is complete up to
+// revision r, with items and keys sorted by key. It leaves Ended to the caller,
+// because the directory does not know ended lifetimes.
 func (d *Directory) Since(r carawaycart.StoreRevision) Copy {
-	c := Copy{At: d.revision}
+	s := Copy{At: d.revision}
 	for key, e := range d.items {
-		c.Keys = append(c.Keys, key)
+		s.Keys = append(s.Keys, key)
 		if e.item.Revision > r {
-			c.Items = append(c.Items, e.item)
+			s.Items = append(s.Items, e.item)
 		}
 	}
-	slices.Sort(c.Keys)
-	slices.SortFunc(c.Items, func(a, b carawaycart.StoreItem) int { return cmp.Compare(a.Key, b.Key) })
-	return c
+	slices.Sort(s.Keys)
+	slices.SortFunc(s.Items, func(a, b carawaycart.StoreItem) int { return cmp.Compare(a.Key, b.Key) })
+	return s
 }
 
-// Adopt applies a peer's snapshot and reports whether it was newer than the
-// directory; an older one is ignored.
-func (d *Directory) Adopt(c Copy) bool {
-	if c.At <= d.revision {
+// Adopt applies the items and keys of a peer's snapshot and reports whether the
+// snapshot was newer than the directory; any other is ignored.
+func (d *Directory) Adopt(s Copy) bool {
+	if s.At <= d.revision {
 		return false
 	}
-	for _, i := range c.Items {
+	for _, i := range s.Items {
 		d.insert(i)
 	}
-	present := make(map[string]struct{}, len(c.Keys))
-	for _, key := range c.Keys {
+	present := make(map[string]struct{}, len(s.Keys))
+	for _, key := range s.Keys {
 		present[key] = struct{}{}
 	}
-	d.removeAbsent(present, c.At)
-	d.revision = c.At
+	d.removeAbsent(present, s.At)
+	d.revision = s.At
 	return true
 }
 
-// insert stores i if it is newer than the stored item with its key, and reports
-// whether it is.
+// insert stores i and returns true, unless an item with its key and the same or a
+// newer revision is stored. It stores an item that cannot be decoded too.
 func (d *Directory) insert(i carawaycart.StoreItem) bool {
 	stored, ok := d.items[i.Key]
 	if ok && stored.item.Revision >= i.Revision {
@@ -179,18 +180,19 @@
 	return e.item, ok
 }
 
-// Contents holds the decoded records of all items, in order of their keys.
+// Contents holds the decoded records of all items; the slices are in order of the
+// items' keys.
 type Contents struct {
-	Config    *carawaycart.RouteConfig
-	ZonesOut  []carawaycart.ZoneID
+	Config    *carawaycart.RouteConfig // nil if the store has none
+	ZonesOut  []carawaycart.ZoneID     // zones that operators have taken out
 	Lifetimes []*carawaycart.Lifetime
-	Revisions map[carawaycart.LifetimeKey]carawaycart.StoreRevision
+	Revisions map[carawaycart.LifetimeKey]carawaycart.StoreRevision // revisions of the lifetimes' items
 	Instances []carawaycart.Registration
 }
 
-// Contents returns the decoded records of all items. It omits lifetimes of
-// services that the configuration does not name, because their entries were not
-// written by the platform.
+// Contents returns the decoded records of all items. If there is a configuration,
+// it omits lifetimes of services that the configuration does not name, because
+// their entries were not written by the platform.
 func (d *Directory) Contents() Contents {
 	keys := make([]string, 0, len(d.items))
 	for key := range d.items {
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -37,10 +37,10 @@
 		From: 5, To: 8, Items: []carawaycart.StoreItem{item("b", "2", 7), item("c", "1", 6)}, Missing: []string{"a"},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("got delta %+v, want %+v", got, want)
 	}
 	if got, want := zones(d), []carawaycart.ZoneID{"b=2", "c=1"}; !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("got zones %v, want %v", got, want)
 	}
 }
 
@@ -49,28 +49,32 @@
 	d := directory.New(decodeZone)
 	d.Replace([]carawaycart.StoreItem{item("a", "2", 9)}, 10)
 	if delta := d.Replace([]carawaycart.StoreItem{item("a", "1", 3), item("b", "1", 4)}, 5); !delta.Empty() {
-		t.Errorf("got %+v, want no change", delta)
+		t.Errorf("got delta %+v, want an empty one", delta)
 	}
 	if got, want := zones(d), []carawaycart.ZoneID{"a=2"}; !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("got zones %v, want %v", got, want)
 	}
 }
 
-// The pages of a read are not taken at one moment, so an item may be newer than
-// the revision of the first page.
+// The pages of a read are fetched one after another, so an item may be newer than the
+// revision of the read, which is that of the first page. A later read at a revision
+// below the item's must not remove it.
 func TestReplaceKeepsItemNewerThanRead(t *testing.T) {
 	d := directory.New(decodeZone)
 	d.Replace([]carawaycart.StoreItem{item("a", "1", 12)}, 10)
 	d.Replace(nil, 11)
 	if got, want := zones(d), []carawaycart.ZoneID{"a=1"}; !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v: a read at revision 11 must not remove an item of revision 12", got, want)
+		t.Errorf("got zones %v, want %v: a read at revision 11 must not remove an item of revision 12", got, want)
 	}
 	d.Replace(nil, 12)
 	if got := zones(d); len(got) != 0 {
-		t.Errorf("got %v, want none", got)
+		t.Errorf("got zones %v, want none", got)
 	}
 }
 
+// A delta must not be applied if the directory lacks earlier changes, because they
+// would be lost, nor if the directory is newer, because old items would return. It
+// must be applied if it begins at an earlier revision than the directory's.
 func TestApplyRejectsGap(t *testing.T) {
 	d := directory.New(decodeZone)
 	d.Replace(nil, 5)
@@ -78,7 +82,7 @@
 		t.Error("a delta across a gap of revisions was applied")
 	}
 	if !d.Apply(directory.Difference{From: 4, To: 7, Items: []carawaycart.StoreItem{item("a", "1", 7)}}) || d.At() != 7 {
-		t.Errorf("got revision %d, want 7", d.At())
+		t.Errorf("got revision %d after a delta from 4 to 7, want it applied", d.At())
 	}
 	if !d.Apply(directory.Difference{From: 1, To: 3, Missing: []string{"a"}}) || len(zones(d)) != 1 {
 		t.Error("an old delta removed a newer item")
@@ -89,7 +93,25 @@
 	d := directory.New(decodeZone)
 	d.Replace([]carawaycart.StoreItem{item("a", "bad", 1), item("b", "1", 2)}, 2)
 	if d.Refused() != 1 || len(zones(d)) != 1 {
-		t.Errorf("got %d refused, %v, want 1 and b", d.Refused(), zones(d))
+		t.Errorf("got %d decode failures and zones %v, want 1 and only b=1", d.Refused(), zones(d))
+	}
+}
+
+// Entries of services that the configuration does not name were not written by the
+// platform and must not add endpoints.
+func TestContentsOmitUnconfiguredService(t *testing.T) {
+	d := directory.New(func(i carawaycart.StoreItem) (carawaycart.Record, error) {
+		if i.Key == "config" {
+			return carawaycart.Record{Config: &carawaycart.RouteConfig{Services: []carawaycart.ServicePolicy{{ID: "desk"}}}}, nil
+		}
+		l := lifetime(i.Key, 1, "10.0.0.1:80")
+		l.Service = carawaycart.ServiceID(i.Value)
+		return carawaycart.Record{Lifetime: l}, nil
+	})
+	d.Replace([]carawaycart.StoreItem{item("config", "", 1), item("i-1", "desk", 2), item("i-2", "else", 3)}, 3)
+	c := d.Contents()
+	if len(c.Lifetimes) != 1 || c.Lifetimes[0].ID != "i-1" {
+		t.Errorf("got %d lifetimes, want only i-1", len(c.Lifetimes))
 	}
 }
 
@@ -116,16 +138,16 @@
 }
 
 // Directories that apply reads, deltas and snapshots in any order, with deltas
-// lost, duplicated or delayed, never return to an older revision and hold equal
-// items in the end.
+// lost, duplicated or delayed, must never return to an older revision, and must
+// hold the items of the store once they are complete up to its revision.
 func TestDirectoriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{items: make(map[string]carawaycart.StoreItem)}
 		directories := []*directory.Directory{directory.New(decodeZone), directory.New(decodeZone), directory.New(decodeZone)}
 		var deltas []directory.Difference
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			c := directories[rapid.IntRange(0, 2).Draw(t, "directory")]
-			before := c.At()
+			d := directories[rapid.IntRange(0, 2).Draw(t, "directory")]
+			before := d.At()
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0, 1:
 				key := fmt.Sprint("k", rapid.IntRange(0, 4).Draw(t, "key"))
@@ -133,35 +155,36 @@
 			case 2:
 				s.remove(fmt.Sprint("k", rapid.IntRange(0, 4).Draw(t, "key")))
 			case 3:
-				deltas = append(deltas, c.Replace(s.read()))
+				deltas = append(deltas, d.Replace(s.read()))
 			case 4:
 				if len(deltas) > 0 {
-					c.Apply(deltas[rapid.IntRange(0, len(deltas)-1).Draw(t, "delta")])
+					d.Apply(deltas[rapid.IntRange(0, len(deltas)-1).Draw(t, "delta")])
 				}
 			case 5:
-				c.Adopt(directories[rapid.IntRange(0, 2).Draw(t, "from")].Since(c.At()))
+				d.Adopt(directories[rapid.IntRange(0, 2).Draw(t, "from")].Since(d.At()))
 			}
-			if c.At() < before {
-				t.Fatalf("got revision %d after %d", c.At(), before)
+			if d.At() < before {
+				t.Fatalf("got revision %d after revision %d, want no older one", d.At(), before)
 			}
-			if c.At() == s.revision {
-				checkEqual(t, c, s)
+			if d.At() == s.revision {
+				checkEqual(t, d, s)
 			}
 		}
 		directories[0].Replace(s.read())
 		directories[1].Adopt(directories[0].Since(directories[1].At()))
 		directories[2].Replace(s.read())
-		for _, c := range directories {
-			checkEqual(t, c, s)
+		for _, d := range directories {
+			checkEqual(t, d, s)
 		}
 	})
 }
 
+// checkEqual checks that d holds the items of s.
 func checkEqual(t *rapid.T, d *directory.Directory, s *store) {
 	model := directory.New(decodeZone)
 	model.Replace(s.read())
 	if got, want := zones(d), zones(model); !slices.Equal(got, want) {
-		t.Fatalf("at revision %d: got %v, want %v", s.revision, got, want)
+		t.Fatalf("at revision %d: got zones %v, want %v", s.revision, got, want)
 	}
 }
 
--- /dev/null
+++ b/core/directory/lifetime_tracker_test.go
@@ -0,0 +1,149 @@
+package directory_test
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+
+	"carawaycart"
+	"carawaycart/core/directory"
+)
+
+var start = time.Unix(1000, 0)
+
+func lifetime(id string, born int64, address string) *carawaycart.Lifetime {
+	return &carawaycart.Lifetime{
+		ID: carawaycart.EndpointID(id), Born: carawaycart.UnixMillis(born), Service: "desk",
+		Address: netip.MustParseAddrPort(address),
+	}
+}
+
+func contents(lifetimes ...*carawaycart.Lifetime) *directory.Contents {
+	return &directory.Contents{Lifetimes: lifetimes}
+}
+
+// presence returns the presence of a lifetime, and false if it is not tracked.
+func presence(tracker *directory.Roster, id string, born int64) (directory.Presence, bool) {
+	var found *directory.Seen
+	tracker.All(func(s *directory.Seen) {
+		if s.Lifetime.Key() == (carawaycart.LifetimeKey{ID: carawaycart.EndpointID(id), Born: carawaycart.UnixMillis(born)}) {
+			found = s
+		}
+	})
+	if found == nil {
+		return 0, false
+	}
+	return found.Presence, true
+}
+
+// A running endpoint must not count as ended because the store failed, nor an
+// ended one as running because its entry or address is still in use.
+func TestPresence(t *testing.T) {
+	one, two := lifetime("i-1", 1, "10.0.0.1:80"), lifetime("i-2", 1, "10.0.0.2:80")
+	for _, test := range []struct {
+		name  string
+		steps func(*directory.Roster)
+		want  directory.Presence
+	}{
+		{"listed", func(tracker *directory.Roster) { tracker.Update(contents(one), start) }, directory.Present},
+		{"absent while the store answers", func(tracker *directory.Roster) {
+			tracker.Update(contents(one, two), start)
+			tracker.Update(contents(two), start.Add(time.Second))
+		}, directory.Ended},
+		{"absent after a store failure", func(tracker *directory.Roster) {
+			tracker.Update(contents(one, two), start)
+			tracker.Trouble(start.Add(time.Second))
+			tracker.Update(contents(two), start.Add(2*time.Second))
+		}, directory.Lapsed},
+		{"reappeared after a store failure", func(tracker *directory.Roster) {
+			tracker.Update(contents(one), start)
+			tracker.Trouble(start.Add(time.Second))
+			tracker.Update(contents(), start.Add(2*time.Second))
+			tracker.Update(contents(one), start.Add(4*time.Second))
+		}, directory.Present},
+		{"absent beyond the grace period after a store failure", func(tracker *directory.Roster) {
+			tracker.Update(contents(one), start)
+			tracker.Trouble(start.Add(time.Second))
+			tracker.Update(contents(), start.Add(2*time.Second))
+			tracker.Tick(start.Add(4500 * time.Millisecond))
+		}, directory.Ended},
+		{"absent while the store keeps failing", func(tracker *directory.Roster) {
+			tracker.Update(contents(one), start)
+			tracker.Trouble(start.Add(time.Second))
+			tracker.Update(contents(), start.Add(2*time.Second))
+			tracker.Trouble(start.Add(4 * time.Second))
+			tracker.Tick(start.Add(5 * time.Second))
+		}, directory.Lapsed},
+		{"restarted under the same id", func(tracker *directory.Roster) {
+			tracker.Update(contents(one), start)
+			tracker.Update(contents(lifetime("i-1", 2, "10.0.0.1:80")), start.Add(time.Second))
+		}, directory.Ended},
+		{"address reassigned", func(tracker *directory.Roster) {
+			tracker.Update(contents(one), start)
+			tracker.Trouble(start.Add(time.Second))
+			tracker.Update(contents(one, lifetime("i-9", 7, "10.0.0.1:80")), start.Add(2*time.Second))
+		}, directory.Ended},
+	} {
+		tracker := directory.NewRoster()
+		test.steps(tracker)
+		if got, ok := presence(tracker, "i-1", 1); !ok || got != test.want {
+			t.Errorf("%s: got presence %d (tracked %t), want %d", test.name, got, ok, test.want)
+		}
+	}
+}
+
+// The token of an ended lifetime must stay known for as long as its flows may
+// last, which is 60 s.
+func TestEndedLifetimeIsRetained(t *testing.T) {
+	tracker := directory.NewRoster()
+	tracker.Update(contents(lifetime("i-1", 1, "10.0.0.1:80")), start)
+	tracker.Update(contents(), start.Add(time.Second))
+	tracker.Tick(start.Add(61 * time.Second))
+	if got, ok := presence(tracker, "i-1", 1); !ok || got != directory.Ended {
+		t.Errorf("got presence %d (tracked %t), want ended and tracked after 60 s", got, ok)
+	}
+	tracker.Tick(start.Add(2 * time.Minute))
+	if _, ok := presence(tracker, "i-1", 1); ok {
+		t.Error("an ended lifetime was not removed after 2 min")
+	}
+}
+
+// The remaining cold time counts from when an entry was written, so reading the
+// same entry again must not extend it.
+func TestRereadDoesNotExtendColdTime(t *testing.T) {
+	l := lifetime("i-1", 1, "10.0.0.1:80")
+	l.ColdLeft = 2 * time.Second
+	c := contents(l)
+	c.Revisions = map[carawaycart.LifetimeKey]carawaycart.StoreRevision{l.Key(): 5}
+	tracker := directory.NewRoster()
+	tracker.Update(c, start)
+	tracker.Update(c, start.Add(time.Second))
+	tracker.All(func(s *directory.Seen) {
+		if want := start.Add(2 * time.Second); !s.ColdUntil.Equal(want) {
+			t.Errorf("got cold until %v, want %v", s.ColdUntil, want)
+		}
+	})
+}
+
+// An instance that has just started does not know the lifetimes that ended
+// before, though packets of their flows still arrive; it learns them from peers.
+func TestEndedLifetimesOfPeersAreRecorded(t *testing.T) {
+	one, two := lifetime("i-1", 1, "10.0.0.1:80"), lifetime("i-2", 1, "10.0.0.2:80")
+	running := directory.NewRoster()
+	running.Update(contents(one, two), start)
+	running.Update(contents(two), start.Add(time.Second))
+	restarted := directory.NewRoster()
+	restarted.Update(contents(two), start.Add(2*time.Second))
+	if !restarted.Remember(append(running.Ended(), two.Key()), start.Add(2*time.Second)) {
+		t.Error("got no lifetime reported as new, want i-1")
+	}
+	if got, ok := presence(restarted, "i-1", 1); !ok || got != directory.Ended {
+		t.Errorf("i-1: got presence %d (tracked %t), want ended", got, ok)
+	}
+	if got, _ := presence(restarted, "i-2", 1); got != directory.Present {
+		t.Errorf("i-2: got presence %d, want present, as its entry exists", got)
+	}
+	if restarted.Remember(running.Ended(), start.Add(3*time.Second)) {
+		t.Error("got lifetimes reported as new that were already tracked")
+	}
+}
