--- a/core/member/bench_test.go
+++ b/core/member/bench_test.go
@@ -10,6 +10,7 @@
 	"carawaycart/internal/rendezvous"
 )
 
+// fleetSizes are numbers of instances.
 var fleetSizes = []int{4, 16, 64, 240, 950, 1900}
 
 // readyMembers returns n ready instances in eight zones.
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// suspicionTimeout is how long a suspect has to refute before it is declared
-	// dead.
+	// suspicionTimeout is how long an instance may be suspect before it is
+	// declared dead.
 	suspicionTimeout = 1500 * time.Millisecond
 	// departedRetention is how long dead and left instances are retained.
 	departedRetention = 2 * time.Minute
@@ -26,13 +26,15 @@
 	mu      sync.Mutex
 	self    carawaycart.Member
 	entries map[carawaycart.InstanceID]*entry
-	pending []carawaycart.Member // updates to be disseminated
+	pending []carawaycart.Member // queued updates, which are to be disseminated
 }
 
-// entry is the latest update about an instance, with its deadline if any.
+// entry is the latest update about an instance.
 type entry struct {
-	member   carawaycart.Member
-	deadline time.Time // when a suspect becomes dead, or a dead or left instance is removed
+	member carawaycart.Member
+	// deadline is when a suspect becomes dead, or a dead or left instance is
+	// removed; it is zero in the other states.
+	deadline time.Time
 }
 
 // NewTable returns a table that contains only self.
@@ -43,7 +45,7 @@
 	return t
 }
 
-// Self returns the instance's own entry.
+// Self returns the latest update of the instance about itself.
 func (t *Table) Self() carawaycart.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -51,7 +53,7 @@
 }
 
 // SetRevision sets the revision of the configuration that the instance runs. It
-// does not begin a new incarnation.
+// neither begins a new incarnation nor queues an update.
 func (t *Table) SetRevision(r carawaycart.Revision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +61,8 @@
 	t.entries[t.self.ID].member = t.self
 }
 
-// SetState sets the instance's own state under a new incarnation.
+// SetState sets the instance's own state under a new incarnation and queues the
+// update.
 func (t *Table) SetState(s carawaycart.MemberState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,7 +80,8 @@
 
 // Merge applies an update received at now and reports whether it changed the
 // state or incarnation of an instance. An update about the instance itself that
-// overrides its own entry is refuted by a new incarnation.
+// overrides its own state is refuted by a new incarnation. An update of the same
+// incarnation that changes no state may still raise the configuration revision.
 func (t *Table) Merge(m carawaycart.Member, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,8 +106,8 @@
 	return true
 }
 
-// mergeSelf refutes m, an update about the instance itself, if it overrides its
-// entry, and reports whether it did.
+// mergeSelf begins a new incarnation and returns true if m, an update about the
+// instance itself, overrides its own state; the caller holds the lock.
 func (t *Table) mergeSelf(m carawaycart.Member) bool {
 	if !overrides(m, t.self) {
 		return false
@@ -114,7 +118,7 @@
 }
 
 // overrides reports whether m replaces old: the greater incarnation wins, and
-// within one incarnation the later state.
+// within one incarnation the greater state.
 func overrides(m, old carawaycart.Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
@@ -135,7 +139,8 @@
 }
 
 // Suspect marks instance id as suspect, because it did not answer a probe at now.
-// It ignores the instance itself and those that are suspect or departed.
+// It ignores the instance itself, unknown instances, and those that are suspect,
+// left or dead already.
 func (t *Table) Suspect(id carawaycart.InstanceID, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,7 +172,8 @@
 	}
 }
 
-// TakeNews returns the updates since the last call and clears them.
+// TakeNews removes the queued updates and returns them in the order in which they
+// were made.
 func (t *Table) TakeNews() []carawaycart.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/member/table_test.go
+++ b/core/member/table_test.go
@@ -14,6 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
+// memberOf returns an instance whose zone is "z" and the first letter of id.
 func memberOf(id string, incarnation int, state carawaycart.MemberState) carawaycart.Member {
 	return carawaycart.Member{
 		ID: carawaycart.InstanceID(id), Zone: carawaycart.ZoneID("z" + id[:1]),
@@ -21,6 +22,8 @@
 	}
 }
 
+// stateOf returns the state of instance id, or a value beyond all states if t does
+// not contain it.
 func stateOf(t *member.Table, id string) carawaycart.MemberState {
 	for _, m := range t.Members() {
 		if m.ID == carawaycart.InstanceID(id) {
@@ -30,6 +33,8 @@
 	return carawaycart.MemberDead + 1
 }
 
+// A suspect must not be declared dead before its deadline, nor if it refutes the
+// suspicion, and must not remain suspect for longer.
 func TestSuspectDiesUnlessRefuted(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -37,8 +42,8 @@
 		after  time.Duration
 		want   carawaycart.MemberState
 	}{
-		{"within the deadline", false, time.Second, carawaycart.MemberSuspect},
-		{"past the deadline", false, 2 * time.Second, carawaycart.MemberDead},
+		{"not refuted, before the deadline", false, time.Second, carawaycart.MemberSuspect},
+		{"not refuted, after the deadline", false, 2 * time.Second, carawaycart.MemberDead},
 		{"refuted", true, 2 * time.Second, carawaycart.MemberReady},
 	} {
 		table := member.NewTable(memberOf("a1", 1, carawaycart.MemberReady))
@@ -49,21 +54,23 @@
 		}
 		table.Tick(start.Add(test.after))
 		if got := stateOf(table, "b1"); got != test.want {
-			t.Errorf("%s: got %s, want %s", test.name, got, test.want)
+			t.Errorf("%s: got state %s, want %s", test.name, got, test.want)
 		}
 	}
 }
 
+// An instance that its peers declare dead although it runs must refute this and tell
+// its peers, or it would remain excluded.
 func TestMergeRefutesOwnDeath(t *testing.T) {
 	table := member.NewTable(memberOf("a1", 5, carawaycart.MemberReady))
 	table.TakeNews()
 	table.Merge(memberOf("a1", 5, carawaycart.MemberDead), start)
 	self := table.Self()
 	if self.State != carawaycart.MemberReady || self.Incarnation <= 5 {
-		t.Errorf("got %s in incarnation %d, want ready in a later one", self.State, self.Incarnation)
+		t.Errorf("got state %s in incarnation %d, want ready in one after 5", self.State, self.Incarnation)
 	}
 	if updates := table.TakeNews(); len(updates) != 1 || updates[0].ID != "a1" {
-		t.Errorf("got updates %v, want the refutation", updates)
+		t.Errorf("got queued updates %v, want the refutation", updates)
 	}
 }
 
@@ -97,13 +104,14 @@
 			y.Merge(m, start)
 		}
 		if x.Digest() != y.Digest() {
-			t.Fatalf("got %v and %v", x.Members(), y.Members())
+			t.Fatalf("got members %v and %v with different digests, want equal ones", x.Members(), y.Members())
 		}
 	})
 }
 
 func fullDuty(carawaycart.ZoneID) member.Duty { return member.DutyFull }
 
+// twelveMembers returns three ready instances in each of four zones, za to zd.
 func twelveMembers() []carawaycart.Member {
 	var all []carawaycart.Member
 	for _, id := range []string{"a1", "a2", "a3", "b1", "b2", "b3", "c1", "c2", "c3", "d1", "d2", "d3"} {
@@ -137,6 +145,8 @@
 	}
 }
 
+// An instance that becomes keeper when it is ready must have been a replica while
+// it was joining, or it would decide without the state.
 func TestJoiningInstanceIsReplicaBeforeKeeper(t *testing.T) {
 	all := twelveMembers()
 	joining := memberOf("b9", 1, carawaycart.MemberJoining)
@@ -161,6 +171,8 @@
 	}
 }
 
+// Instances of zones that are out must not be holders, and those of zones that
+// returned to service not yet keepers, unless no instance could then be keeper.
 func TestDuties(t *testing.T) {
 	duty := func(d member.Duty) func(carawaycart.ZoneID) member.Duty {
 		return func(z carawaycart.ZoneID) member.Duty {
@@ -182,7 +194,7 @@
 	} {
 		v := member.NewView(twelveMembers(), test.duty)
 		if len(v.Ready()) != test.ready || v.Len() != test.total {
-			t.Errorf("%s: got %d ready of %d, want %d of %d", test.name, len(v.Ready()), v.Len(), test.ready, test.total)
+			t.Errorf("%s: got %d of %d instances that can be keeper, want %d of %d", test.name, len(v.Ready()), v.Len(), test.ready, test.total)
 		}
 	}
 }
@@ -226,17 +238,19 @@
 		before, after := draw("before"), draw("after")
 		after.SetPrevious(before)
 		for k := range rendezvous.Key(50) {
-			old, now := before.Holders(k), after.Holders(k)
+			old, next := before.Holders(k), after.Holders(k)
 			if !after.HoldersUnchanged(before, &old, k) {
 				continue
 			}
-			if old.Keeper != now.Keeper || old.Replicas != now.Replicas {
-				t.Fatalf("key %d: got %v unchanged, want %v", k, old, now)
+			if old.Keeper != next.Keeper || old.Replicas != next.Replicas {
+				t.Fatalf("key %d: got holders %v reported as unchanged, want %v", k, old, next)
 			}
 		}
 	})
 }
 
+// If HoldersUnchanged failed for keys that a change of the fleet does not affect,
+// each change would compute the holders of all objects again.
 func TestHoldersUnchangedCoversMostKeys(t *testing.T) {
 	all := twelveMembers()
 	before := member.NewView(all, fullDuty)
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -14,14 +14,14 @@
 type Peer struct {
 	ID      carawaycart.InstanceID
 	Zone    carawaycart.ZoneID
-	Address netip.AddrPort
-	name    rendezvous.Name
+	Address netip.AddrPort  // peer address
+	name    rendezvous.Name // ID as a rendezvous candidate
 }
 
 // View is an immutable snapshot of the instances that can be keepers or replicas.
 type View struct {
-	ready   []Peer // can be keeper or replica, ordered by ID
-	joining []Peer // can be replica only, ordered by ID
+	keeperCandidates []Peer // instances that can be keeper or replica, ordered by ID
+	replicaOnly      []Peer // instances that can be replica only, ordered by ID
 
 	id        uint64 // unique in the process, from lastViewID
 	previous  uint64 // id of the preceding view, or zero
@@ -35,12 +35,15 @@
 // MaxReplicas is the maximum number of replicas in Holders, without the keeper.
 const MaxReplicas = 4
 
-// Holders names the instances that hold the state of one object.
+// Holders names the instances that hold the state of one object, such as an
+// endpoint.
 type Holders struct {
-	Keeper     carawaycart.InstanceID
-	Replicas   [MaxReplicas]carawaycart.InstanceID
-	Count      int    // number of Replicas in use
-	scoreFloor uint64 // a changed peer with a lower score leaves the holders as they are
+	Keeper   carawaycart.InstanceID // empty if no instance can be keeper
+	Replicas [MaxReplicas]carawaycart.InstanceID
+	Count    int // number of Replicas in use
+	// scoreFloor is the score that a peer outside the holders must reach for a
+	// change of that peer to alter them.
+	scoreFloor uint64
 }
 
 // minReplicasForFloor is the number of replicas below which Holders.scoreFloor is
@@ -65,7 +68,7 @@
 // Duty is the role that the instances of a zone may have for an object.
 type Duty uint8
 
-// The duties.
+// The duties, each with the roles that it allows.
 const (
 	DutyFull    Duty = iota // keeper or replica
 	DutyReplica             // replica only
@@ -77,12 +80,14 @@
 // the duties. Joining instances are replicas only.
 func NewView(members []carawaycart.Member, duty func(carawaycart.ZoneID) Duty) *View {
 	v := newView(members, duty)
-	if len(v.ready) == 0 {
+	if len(v.keeperCandidates) == 0 {
 		v = newView(members, func(carawaycart.ZoneID) Duty { return DutyFull })
 	}
 	return v
 }
 
+// newView returns the view that NewView does, without the exception for duties that
+// leave no keeper.
 func newView(members []carawaycart.Member, duty func(carawaycart.ZoneID) Duty) *View {
 	v := &View{id: lastViewID.Add(1)}
 	for _, m := range members {
@@ -93,39 +98,40 @@
 		}
 		p := Peer{ID: m.ID, Zone: m.Zone, Address: m.PeerAddress, name: rendezvous.NewName(string(m.ID))}
 		if d == DutyFull && m.State == carawaycart.MemberReady {
-			v.ready = append(v.ready, p)
+			v.keeperCandidates = append(v.keeperCandidates, p)
 		} else {
-			v.joining = append(v.joining, p)
+			v.replicaOnly = append(v.replicaOnly, p)
 		}
 	}
 	byID := func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) }
-	slices.SortFunc(v.ready, byID)
-	slices.SortFunc(v.joining, byID)
+	slices.SortFunc(v.keeperCandidates, byID)
+	slices.SortFunc(v.replicaOnly, byID)
 	return v
 }
 
 // Ready returns the instances that can be keepers, ordered by ID; the slice must
-// not be modified.
-func (v *View) Ready() []Peer { return v.ready }
+// not be modified. It omits ready instances whose zones allow no keeper.
+func (v *View) Ready() []Peer { return v.keeperCandidates }
 
 // Len returns the number of instances in the view.
-func (v *View) Len() int { return len(v.ready) + len(v.joining) }
+func (v *View) Len() int { return len(v.keeperCandidates) + len(v.replicaOnly) }
 
-// HasZone reports whether zone has a ready instance.
+// HasZone reports whether zone has an instance that can be keeper.
 func (v *View) HasZone(zone carawaycart.ZoneID) bool {
-	return slices.ContainsFunc(v.ready, func(p Peer) bool { return p.Zone == zone })
+	return slices.ContainsFunc(v.keeperCandidates, func(p Peer) bool { return p.Zone == zone })
 }
 
-// Holders returns the holders of the object with the given key; the Keeper is
-// empty if no instance is ready.
+// Holders returns the holders of the object with the given key. The keeper is the
+// highest-scoring instance that can be keeper, and is empty if there is none.
 //
-// The replicas are the highest-scoring ready instance after the keeper, the
-// highest outside the keeper's zone, and the highest overall and outside its
-// zone among ready and joining instances together, so that a joining instance
-// receives the state of the objects whose keeper it will become.
+// The replicas are the second highest-scoring of these instances, and the highest
+// of them outside the keeper's zone. When instances that can be replicas only are
+// added to these, the highest-scoring instance and the highest outside its zone
+// are replicas too. A joining instance thus receives the state of the objects
+// whose keeper it will become.
 func (v *View) Holders(key rendezvous.Key) Holders {
 	var r ranking
-	r.addAll(v.ready, key)
+	r.addAll(v.keeperCandidates, key)
 	h := Holders{Keeper: r.first.id()}
 	if h.Keeper == "" {
 		return h
@@ -133,8 +139,8 @@
 	h.add(r.second.id())
 	h.add(r.outside.id())
 	h.scoreFloor = min(r.second.score, r.outside.score)
-	if len(v.joining) > 0 {
-		r.addAll(v.joining, key)
+	if len(v.replicaOnly) > 0 {
+		r.addAll(v.replicaOnly, key)
 		h.add(r.first.id())
 		h.add(r.outside.id())
 	}
@@ -149,11 +155,11 @@
 }
 
 // id returns the peer's ID, or the empty ID if there is no peer.
-func (r scoredPeer) id() carawaycart.InstanceID {
-	if r.peer == nil {
+func (p scoredPeer) id() carawaycart.InstanceID {
+	if p.peer == nil {
 		return ""
 	}
-	return r.peer.ID
+	return p.peer.ID
 }
 
 // ranking holds the highest-scoring peer, the second highest, and the highest
@@ -166,6 +172,7 @@
 	}
 }
 
+// add includes c in the ranking.
 func (r *ranking) add(c scoredPeer) {
 	switch {
 	case r.first.peer == nil || c.score > r.first.score:
@@ -187,8 +194,8 @@
 // compare the two. It must be called before v is shared.
 func (v *View) SetPrevious(previous *View) {
 	v.previous = previous.id
-	v.differing = appendDiffering(v.differing[:0], previous.ready, v.ready)
-	v.differing = appendDiffering(v.differing, previous.joining, v.joining)
+	v.differing = appendDiffering(v.differing[:0], previous.keeperCandidates, v.keeperCandidates)
+	v.differing = appendDiffering(v.differing, previous.replicaOnly, v.replicaOnly)
 }
 
 // appendDiffering appends to dst the peers that are in only one of a and b, and
@@ -231,13 +238,13 @@
 // HasAddress reports whether an instance in the view has peer address a.
 func (v *View) HasAddress(a netip.AddrPort) bool {
 	same := func(p Peer) bool { return p.Address == a }
-	return slices.ContainsFunc(v.ready, same) || slices.ContainsFunc(v.joining, same)
+	return slices.ContainsFunc(v.keeperCandidates, same) || slices.ContainsFunc(v.replicaOnly, same)
 }
 
 // Address returns the peer address of instance id, and false if it is not in the
 // view.
 func (v *View) Address(id carawaycart.InstanceID) (netip.AddrPort, bool) {
-	for _, peers := range [2][]Peer{v.ready, v.joining} {
+	for _, peers := range [2][]Peer{v.keeperCandidates, v.replicaOnly} {
 		i, ok := slices.BinarySearchFunc(peers, id, func(p Peer, id carawaycart.InstanceID) int { return cmp.Compare(p.ID, id) })
 		if ok {
 			return peers[i].Address, true
@@ -246,15 +253,15 @@
 	return netip.AddrPort{}, false
 }
 
-// Neighbours appends to dst the peers that self probes, sorts dst by ID and
-// returns it. The peers are the successor of self in the ring of its zone's
-// instances ordered by ID, and its highest-scoring peer in each zone, its own
-// included.
+// Neighbours appends to dst the peers that self, an instance of the given zone,
+// probes, sorts dst by ID and returns it. These are the successor of self in the
+// ring of the zone's instances ordered by ID, which connects the zone, and the
+// highest-scoring peer in each zone, its own included, which connects the zones.
 func (v *View) Neighbours(dst []Peer, self carawaycart.InstanceID, zone carawaycart.ZoneID) []Peer {
 	key := rendezvous.NewKey(string(self))
 	bestByZone := make(map[carawaycart.ZoneID]Peer)
 	var successor, first Peer
-	for _, peers := range [2][]Peer{v.ready, v.joining} {
+	for _, peers := range [2][]Peer{v.keeperCandidates, v.replicaOnly} {
 		for _, p := range peers {
 			if p.ID == self {
 				continue
