--- a/core/board/bench_test.go
+++ b/core/board/bench_test.go
@@ -16,13 +16,13 @@
 
 var start = time.Unix(1000, 0)
 
-// site is the total numbers of services and endpoints of a configuration.
-type site struct{ services, endpoints int }
+// configSize is the numbers of services and endpoints of a configuration.
+type configSize struct{ services, endpoints int }
 
-var sites = []site{{2, 18}, {100, 900}, {500, 4500}, {2300, 21000}}
+var configSizes = []configSize{{2, 18}, {100, 900}, {500, 4500}, {2300, 21000}}
 
-// build returns a configuration of size s with eight zones.
-func build(tb testing.TB, s site) *config.Configuration {
+// newConfig returns a configuration of the given size with eight zones.
+func newConfig(tb testing.TB, s configSize) *config.Configuration {
 	tb.Helper()
 	var bundle config.Bundle
 	zone := func(i int) carawaycart.ZoneID { return carawaycart.ZoneID(fmt.Sprintf("zone-%d", i%8)) }
@@ -46,9 +46,10 @@
 	return configtest.Put(tb, config.New(), carawaycart.KindBundle, "site", bundle)
 }
 
-func eachSite(b *testing.B, f func(b *testing.B, c *config.Configuration)) {
-	for _, s := range sites {
-		c := build(b, s)
+// eachSize runs f as a benchmark for a configuration of each size.
+func eachSize(b *testing.B, f func(b *testing.B, c *config.Configuration)) {
+	for _, s := range configSizes {
+		c := newConfig(b, s)
 		b.Run(fmt.Sprintf("services=%d/endpoints=%d", s.services, s.endpoints), func(b *testing.B) {
 			b.ReportAllocs()
 			f(b, c)
@@ -64,10 +65,10 @@
 	return carawaycart.Change{Revision: c.Revision + 1, ID: "id", Kind: carawaycart.KindEndpoint, Name: "endpoint-0", After: after}
 }
 
-// BenchmarkChange measures applying a change of one endpoint and putting it in
-// force.
+// BenchmarkChange measures the application of a change of one endpoint, until its
+// table is the only recent one.
 func BenchmarkChange(b *testing.B) {
-	eachSite(b, func(b *testing.B, c *config.Configuration) {
+	eachSize(b, func(b *testing.B, c *config.Configuration) {
 		board := board.New("i1")
 		board.SetConfig(c, start)
 		now := start
@@ -89,11 +90,11 @@
 // BenchmarkMemory reports the size of a configuration in force, on the heap and
 // encoded, in bytes.
 func BenchmarkMemory(b *testing.B) {
-	for _, s := range sites {
+	for _, s := range configSizes {
 		b.Run(fmt.Sprintf("services=%d/endpoints=%d", s.services, s.endpoints), func(b *testing.B) {
 			for b.Loop() {
 				before := heapBytes()
-				c := build(b, s)
+				c := newConfig(b, s)
 				board := board.New("i1")
 				board.SetConfig(c, start)
 				b.ReportMetric(float64(heapBytes()-before), "heap-bytes")
--- a/core/board/board.go
+++ b/core/board/board.go
@@ -14,27 +14,31 @@
 )
 
 const (
-	// activationDelay is the time until every instance has a revision.
+	// activationDelay is the time after the arrival of a revision by which every
+	// instance has received it.
 	activationDelay = time.Second
-	// stabilityDelay is the time until every instance follows the tables of a
-	// revision.
+	// stabilityDelay is the time after the arrival of a revision by which every
+	// instance follows its tables.
 	stabilityDelay = 2 * time.Second
-	// zoneReturnDelay is the time until the instances of a zone that returned to
-	// service hold the state of the objects whose keepers they will become.
+	// zoneReturnDelay is the time after the return of a zone to service by which
+	// its instances hold the state of the objects whose keepers they will become.
 	zoneReturnDelay = 2 * time.Second
 
+	// entryShards is the number of shards that hold the entries, each under its
+	// own lock.
 	entryShards = 64
 )
 
-// View is an immutable snapshot of the configuration and its routes.
+// View is an immutable snapshot of the configuration and the routes of its
+// services.
 type View struct {
-	Config   *config.Configuration
-	services map[netip.AddrPort]*ServiceRoute
-	byID     map[carawaycart.ServiceID]*ServiceRoute
+	Config    *config.Configuration
+	byAddress map[netip.AddrPort]*ServiceRoute
+	byID      map[carawaycart.ServiceID]*ServiceRoute
 }
 
 // Service returns the route of the service at address a, or nil.
-func (v *View) Service(a netip.AddrPort) *ServiceRoute { return v.services[a] }
+func (v *View) Service(a netip.AddrPort) *ServiceRoute { return v.byAddress[a] }
 
 // ServiceByID returns the route of service id, or nil.
 func (v *View) ServiceByID(id carawaycart.ServiceID) *ServiceRoute { return v.byID[id] }
@@ -46,13 +50,15 @@
 type Board struct {
 	Self carawaycart.InstanceID
 
-	view         atomic.Pointer[View]
-	members      atomic.Pointer[member.View]
-	statusDigest atomic.Uint64
-	decideUntil  atomic.Int64 // Unix nanoseconds until which the instance may make decisions
+	view         atomic.Pointer[View]        // configuration in force; nil before the first one
+	members      atomic.Pointer[member.View] // view of the fleet
+	statusDigest atomic.Uint64               // sum of the hashes of all statuses
+	decideUntil  atomic.Int64                // Unix nanoseconds until which the instance may make decisions
 
-	mu               sync.Mutex // guards updates of view and members, and the fields below but shards
-	memberList       []carawaycart.Member
+	// mu serializes changes of view and members, and guards memberList and
+	// replicaOnlyUntil.
+	mu               sync.Mutex
+	memberList       []carawaycart.Member             // as set by SetMembers
 	replicaOnlyUntil map[carawaycart.ZoneID]time.Time // when zones that returned to service get full duty
 	shards           [entryShards]entryShard
 }
@@ -73,7 +79,8 @@
 	return b
 }
 
-// View returns the configuration in force, or nil before the first one.
+// View returns the view of the configuration in force, or nil before the first
+// configuration.
 func (b *Board) View() *View { return b.view.Load() }
 
 // Members returns the current view of the fleet; it is never nil.
@@ -89,8 +96,8 @@
 }
 
 // StayAwake allows the instance to make decisions until deadline. An instance
-// whose process was paused past the deadline must first receive what changed in
-// the meantime and whether it was replaced.
+// whose process was paused past the deadline must first learn what changed in the
+// meantime and whether it was replaced.
 func (b *Board) StayAwake(deadline time.Time) { b.decideUntil.Store(deadline.UnixNano()) }
 
 // Awake reports whether the instance may make decisions at now.
@@ -115,7 +122,8 @@
 	return e
 }
 
-// Keeps reports whether the instance is the keeper of e's endpoint.
+// Keeps reports whether the instance is the keeper of e's endpoint in the current
+// view of the fleet.
 func (b *Board) Keeps(e *Entry) bool { return e.Holders(b.Members()).Keeper == b.Self }
 
 // StatusDigest returns a hash of the statuses of all endpoints; boards with equal
@@ -138,7 +146,8 @@
 	}
 }
 
-// SetMembers sets the members of the fleet.
+// SetMembers sets the members of the fleet; the slice must not be modified
+// afterwards.
 func (b *Board) SetMembers(members []carawaycart.Member) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -147,8 +156,8 @@
 }
 
 // rebuildMembers replaces the view of the fleet. Instances of zones that are out
-// have no duty. Instances of zones that returned to service first receive
-// replicas only.
+// have no duty. Instances of zones that returned to service are first replicas
+// only. The caller holds the lock, unless the board is not shared yet.
 func (b *Board) rebuildMembers() {
 	zones := map[carawaycart.ZoneID]carawaycart.Zone{}
 	if v := b.View(); v != nil {
@@ -184,21 +193,21 @@
 // expireReturnedZones gives full duty to zones that returned to service at least
 // zoneReturnDelay ago.
 func (b *Board) expireReturnedZones(now time.Time) {
-	ended := false
+	expired := false
 	for id, deadline := range b.replicaOnlyUntil {
 		if !now.Before(deadline) {
 			delete(b.replicaOnlyUntil, id)
-			ended = true
+			expired = true
 		}
 	}
-	if ended {
+	if expired {
 		b.rebuildMembers()
 	}
 }
 
-// SetConfig applies a configuration that arrived at now and reports whether it is
-// newer than the one in force; it ignores any other. The first configuration
-// takes effect immediately.
+// SetConfig applies configuration c, which arrived at now, and returns true. If c
+// is not newer than the configuration in force, it does nothing and returns false.
+// The first configuration takes effect immediately.
 func (b *Board) SetConfig(c *config.Configuration, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -234,13 +243,13 @@
 	}
 }
 
-// rebuildView replaces the view by that of c and reuses the routes of old, which
-// may be nil, that are up to date.
+// rebuildView replaces the view by one of c. It reuses those routes of the view
+// old that are up to date; old may be nil.
 func (b *Board) rebuildView(old *View, c *config.Configuration, now time.Time) {
 	v := &View{
-		Config:   c,
-		services: make(map[netip.AddrPort]*ServiceRoute, len(c.Services)),
-		byID:     make(map[carawaycart.ServiceID]*ServiceRoute, len(c.Services)),
+		Config:    c,
+		byAddress: make(map[netip.AddrPort]*ServiceRoute, len(c.Services)),
+		byID:      make(map[carawaycart.ServiceID]*ServiceRoute, len(c.Services)),
 	}
 	for id, s := range c.Services {
 		var previous *ServiceRoute
@@ -248,7 +257,7 @@
 			previous = old.byID[id]
 		}
 		r := b.nextRoute(previous, s, c, now)
-		v.services[s.Address] = r
+		v.byAddress[s.Address] = r
 		v.byID[id] = r
 	}
 	b.view.Store(v)
@@ -260,8 +269,8 @@
 	if previous.upToDate(s, c) {
 		return previous
 	}
-	r := &ServiceRoute{Service: s, Profile: c.Profiles[s.Profile], members: c.ServiceEndpoints(s.ID)}
-	for _, id := range r.members {
+	r := &ServiceRoute{Service: s, Profile: c.Profiles[s.Profile], endpointIDs: c.ServiceEndpoints(s.ID)}
+	for _, id := range r.endpointIDs {
 		r.Entries = append(r.Entries, b.Entry(id))
 	}
 	slots := c.Slots[s.ID]
@@ -289,21 +298,23 @@
 	return r
 }
 
-// upToDate reports whether c leaves the route unchanged and none of its tables
-// has a delay that is still to pass.
+// upToDate reports whether r is the route of s in c and none of its tables has a
+// delay that is still to pass. It returns false if r is nil.
 func (r *ServiceRoute) upToDate(s carawaycart.Service, c *config.Configuration) bool {
 	return r != nil && len(r.Recent) == 1 && r.Active == r.Recent[0] && r.Service == s && r.Profile == c.Profiles[s.Profile] &&
-		sharesSlots(r.Active.slots, c.Slots[s.ID]) && sharesMembers(r.members, c.ServiceEndpoints(s.ID))
+		sharesSlots(r.Active.slots, c.Slots[s.ID]) && sameSlice(r.endpointIDs, c.ServiceEndpoints(s.ID))
 }
 
-// sharesMembers reports whether a and b are the same slice, as the members of
-// services that a change does not affect are.
-func sharesMembers(a, b []carawaycart.EndpointID) bool {
+// sameSlice reports whether a and b are the same slice. The endpoint IDs of a
+// service are the same slice in two configurations if no change between them
+// affected the service.
+func sameSlice(a, b []carawaycart.EndpointID) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// sharesSlots reports whether a and b share their slots, as the tables of
-// services that a change does not affect do.
+// sharesSlots reports whether a and b share the memory of their slots. The tables
+// of a service do so in two configurations if no change between them affected the
+// service. Both must have slots.
 func sharesSlots(a, b carawaycart.SlotTable) bool {
 	return len(a.Base) == len(b.Base) && &a.Base[0] == &b.Base[0]
 }
@@ -318,9 +329,9 @@
 	return t
 }
 
-// carryActivity gives r the activity of its predecessor, or an empty one if old
-// has another number of slots. It does nothing if the latest table has no dirty
-// slot.
+// carryActivity sets the activity of r to old, that of the route before it. If
+// old is nil or has another number of slots, it sets an empty activity instead. It
+// does nothing if the latest table has no dirty slot.
 func (r *ServiceRoute) carryActivity(old *baseActivity) {
 	n := r.Latest().Len()
 	switch {
--- a/core/board/board_test.go
+++ b/core/board/board_test.go
@@ -12,13 +12,15 @@
 	"carawaycart/internal/configtest"
 )
 
+// serviceAddress returns the address of service-0.
 func serviceAddress() netip.AddrPort { return netip.MustParseAddrPort("192.0.0.0:443") }
 
 // The tables of a revision must become active after 1 s and be the only recent
-// ones after 2 s.
+// ones after 2 s. Otherwise instances that have not yet received the revision would
+// route packets by other tables.
 func TestTablesTakeEffectInSteps(t *testing.T) {
 	b := board.New("i1")
-	c := build(t, site{1, 4})
+	c := newConfig(t, configSize{1, 4})
 	b.SetConfig(c, start)
 	old := b.View().Service(serviceAddress()).Active
 	e := c.Endpoints["endpoint-0"]
@@ -48,9 +50,10 @@
 	}
 }
 
+// A configuration that arrives late must not replace a newer one.
 func TestSetConfigRejectsOlderRevision(t *testing.T) {
 	b := board.New("i1")
-	c := build(t, site{1, 4})
+	c := newConfig(t, configSize{1, 4})
 	n := configtest.Put(t, c, carawaycart.KindZone, "zone-0", carawaycart.Zone{ID: "zone-0", Out: true})
 	b.SetConfig(n, start)
 	for _, old := range []*config.Configuration{c, n} {
@@ -67,7 +70,7 @@
 // hold the state of the objects whose keepers they will become.
 func TestReturnedZoneHoldsReplicasFirst(t *testing.T) {
 	b := board.New("i1")
-	c := build(t, site{1, 4})
+	c := newConfig(t, configSize{1, 4})
 	b.SetConfig(c, start)
 	var members []carawaycart.Member
 	for i := range 8 {
@@ -80,7 +83,7 @@
 	check := func(when string, ready, total int) {
 		t.Helper()
 		if v := b.Members(); len(v.Ready()) != ready || v.Len() != total {
-			t.Errorf("%s: got %d ready of %d, want %d of %d", when, len(v.Ready()), v.Len(), ready, total)
+			t.Errorf("%s: got %d of %d instances that can be keeper, want %d of %d", when, len(v.Ready()), v.Len(), ready, total)
 		}
 	}
 	check("in service", 8, 8)
@@ -114,6 +117,8 @@
 	}
 }
 
+// A status that arrives late must not replace a newer one, and of two keepers that
+// issue the same version the same one must win everywhere.
 func TestNewerStatusWins(t *testing.T) {
 	status := func(v carawaycart.Version, keeper carawaycart.InstanceID, guarded bool) carawaycart.EndpointStatus {
 		return carawaycart.EndpointStatus{Endpoint: "e", Version: v, Keeper: keeper, Guarded: guarded}
@@ -131,7 +136,7 @@
 		e := board.New("i1").Entry("e")
 		e.MergeStatus(status(5, "b", false))
 		if got := e.MergeStatus(test.next); got != test.accepted || e.Guarded() != test.accepted {
-			t.Errorf("%s: got accepted %t and guarded %t, want %t", test.name, got, e.Guarded(), test.accepted)
+			t.Errorf("%s: got accepted %t and guarded %t, want both %t", test.name, got, e.Guarded(), test.accepted)
 		}
 	}
 }
--- a/core/board/doc.go
+++ b/core/board/doc.go
@@ -1,6 +1,7 @@
 // Package board holds the state that the controllers of one instance share: the
 // configuration in force, the members of the fleet, and an Entry for each
-// endpoint. It is the blackboard that the controllers read and write.
+// endpoint. It follows the blackboard pattern: the controllers read and write a
+// shared Board.
 //
 // A revision of the configuration takes effect in three steps, because instances
 // receive it at different times. On arrival, the instance rejects new work where
--- a/core/board/entry.go
+++ b/core/board/entry.go
@@ -22,8 +22,8 @@
 	endpoint    atomic.Pointer[carawaycart.Endpoint]
 	guarded     atomic.Bool
 	holders     atomic.Pointer[cachedHolders]
-	gate        atomic.Pointer[limit.Gate]
-	keeperSince atomic.Int64 // Unix nanoseconds when the instance became keeper
+	limiter     atomic.Pointer[limit.Gate]
+	keeperSince atomic.Int64 // Unix nanoseconds when the instance last began to act as keeper; zero if never
 
 	mu     sync.Mutex
 	status carawaycart.EndpointStatus
@@ -43,11 +43,12 @@
 	return e
 }
 
-// Endpoint returns the configured endpoint, or nil if it was never configured.
+// Endpoint returns the endpoint as last configured, even if it was removed since,
+// or nil if it was never configured.
 func (e *Entry) Endpoint() *carawaycart.Endpoint { return e.endpoint.Load() }
 
-// Guarded reports whether packets of the slots whose current endpoint this is must
-// pass through its keeper.
+// Guarded reports whether the endpoint is guarded: packets of the slots of which it
+// is the current endpoint must pass through its keeper.
 func (e *Entry) Guarded() bool { return e.guarded.Load() }
 
 // Holders returns the holders of the endpoint's state in view v; the result
@@ -66,21 +67,22 @@
 	return &c.holders
 }
 
-// Gate returns the admission gate of the endpoint, or nil if the instance is not
-// its keeper.
-func (e *Entry) Gate() *limit.Gate { return e.gate.Load() }
+// Gate returns the admission limiter of the endpoint, or nil if the instance does
+// not act as its keeper.
+func (e *Entry) Gate() *limit.Gate { return e.limiter.Load() }
 
 // OpenGate makes the instance act as the endpoint's keeper from now on, with
-// admission gate g.
-func (e *Entry) OpenGate(g *limit.Gate, now time.Time) {
+// admission limiter l.
+func (e *Entry) OpenGate(l *limit.Gate, now time.Time) {
 	e.keeperSince.Store(now.UnixNano())
-	e.gate.Store(g)
+	e.limiter.Store(l)
 }
 
 // CloseGate makes the instance stop acting as the endpoint's keeper.
-func (e *Entry) CloseGate() { e.gate.Store(nil) }
+func (e *Entry) CloseGate() { e.limiter.Store(nil) }
 
-// KeptSince returns when the instance last became the endpoint's keeper.
+// KeptSince returns when the instance last began to act as the endpoint's keeper,
+// or the Unix epoch if it never did.
 func (e *Entry) KeptSince() time.Time { return time.Unix(0, e.keeperSince.Load()) }
 
 // Status returns the latest status of the endpoint.
@@ -90,8 +92,8 @@
 	return e.status
 }
 
-// MergeStatus stores a status if it is newer than the stored one, and reports
-// whether it is. Of two with the same version, that of the greater keeper ID wins.
+// MergeStatus stores s and returns true if s is newer than the stored status, that
+// is, has the greater version or, of equal versions, the greater keeper ID.
 func (e *Entry) MergeStatus(s carawaycart.EndpointStatus) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -124,7 +126,8 @@
 }
 
 // State stores a status with the next version and returns it and true. If keeper,
-// state and guarded are unchanged, it returns the stored status and false.
+// state and guarded are those of the stored status, it returns that and false. The
+// first status has version 1.
 func (e *Entry) State(keeper carawaycart.InstanceID, state carawaycart.EndpointState, guarded bool) (carawaycart.EndpointStatus, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/core/board/route.go
+++ b/core/board/route.go
@@ -15,20 +15,21 @@
 	Current *Entry // receives new flows
 }
 
-// Clean reports whether the slot's flows can be routed without asking a keeper.
+// Clean reports whether the slot's flows can be routed without asking a keeper. The
+// slot must have a base or a current endpoint.
 func (s Slot) Clean() bool { return s.Base == s.Current && !s.Base.Guarded() }
 
 // Table is a slot table whose members are resolved to entries; it is immutable.
 type Table struct {
 	slots     carawaycart.SlotTable
-	entries   []*Entry
-	arrivedAt time.Time // when the table arrived
+	entries   []*Entry  // by the index of the member in slots
+	arrivedAt time.Time // zero for the first table of a service
 }
 
 // Len returns the number of slots.
 func (t *Table) Len() int { return len(t.slots.Base) }
 
-// Index returns the slot of fingerprint f.
+// Index returns the index of the slot of fingerprint f.
 func (t *Table) Index(f carawaycart.Fingerprint) carawaycart.SlotIndex { return slot.Index(f, t.Len()) }
 
 // Slot returns the slot with index i.
@@ -36,7 +37,8 @@
 	return Slot{Base: t.entry(t.slots.Base[i]), Current: t.entry(t.slots.Current[i])}
 }
 
-// Since returns when the table arrived.
+// Since returns when the table arrived, or the zero time for the first table of a
+// service.
 func (t *Table) Since() time.Time { return t.arrivedAt }
 
 // Entries returns the entries of the endpoints that are the base or current of a
@@ -47,7 +49,7 @@
 // endpoint.
 func (t *Table) Dirty() int { return slot.Dirty(t.slots) }
 
-// entry returns the entry of member m, or nil for NoMember.
+// entry returns the entry of the endpoint with index m, or nil for NoMember.
 func (t *Table) entry(m uint16) *Entry {
 	if m == carawaycart.NoMember {
 		return nil
@@ -68,7 +70,7 @@
 	// arrived less than stabilityDelay ago.
 	Recent []*Table
 
-	members      []carawaycart.EndpointID // IDs of the configured endpoints of the service
+	endpointIDs  []carawaycart.EndpointID // IDs of the configured endpoints of the service
 	baseActivity *baseActivity
 }
 
@@ -79,8 +81,9 @@
 // Latest returns the table of the latest revision received.
 func (r *ServiceRoute) Latest() *Table { return r.Recent[len(r.Recent)-1] }
 
-// Stable reports whether all recent tables agree on the base and current endpoint
-// of the slot of f, and, as baseStable, whether they agree on its base.
+// Stable reports whether all recent tables agree with the active one on the base
+// and current endpoint of the slot of f, and, as baseStable, whether they agree with
+// it on the base.
 func (r *ServiceRoute) Stable(f carawaycart.Fingerprint) (stable, baseStable bool) {
 	if len(r.Recent) == 1 && r.Active == r.Recent[0] {
 		return true, true
@@ -96,7 +99,8 @@
 }
 
 // NoteBase records that at now a packet of slot i was sent to its base without a
-// record of its flow. It does nothing if the latest table has no dirty slot.
+// record of its flow. It does nothing if the latest table has no dirty slot or no
+// slot i.
 func (r *ServiceRoute) NoteBase(i carawaycart.SlotIndex, now time.Time) {
 	if r.baseActivity != nil && int(i) < len(r.baseActivity.lastBaseUse) {
 		r.baseActivity.lastBaseUse[i].Store(uint32(now.Unix()))
@@ -104,7 +108,8 @@
 }
 
 // BaseSeen returns when a packet of slot i was last sent to its base without a
-// record of its flow, or when the latest table arrived if that is later.
+// record of its flow, or when the latest table arrived if that is later or there
+// was no such packet.
 func (r *ServiceRoute) BaseSeen(i carawaycart.SlotIndex) time.Time {
 	arrivedAt := r.Latest().arrivedAt
 	if r.baseActivity == nil || int(i) >= len(r.baseActivity.lastBaseUse) {
