--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -8,7 +8,8 @@
 )
 
 // Every candidate must win an equal share of the keys to within 8%, even if the
-// keys are consecutive numbers instead of hashes.
+// keys are consecutive numbers instead of hashes. A score that mixes its arguments
+// poorly would give some candidates more keys.
 func TestScoreIsUniform(t *testing.T) {
 	const candidates, keys = 16, 32000
 	for _, test := range []struct {
--- a/internal/routertest/routertest.go
+++ b/internal/routertest/routertest.go
@@ -8,18 +8,19 @@
 )
 
 // Fleet is a set of instances with their routers, behind a fabric that may deliver
-// any packet to any of them.
+// any packet to any of them. Instances are numbered from zero.
 type Fleet interface {
 	// Instances returns the number of instances.
 	Instances() int
-	// First sends the first packet of flow number flow through the given
-	// instance, follows a relay to another instance, and returns the decision.
+	// First sends the first packet of flow number flow to the given instance and
+	// returns the decision, which is that of another instance if the first one
+	// relays the packet.
 	First(instance, flow int, now time.Time) carawaycart.Decision
-	// Later sends a further packet of a flow that First opened with decision d,
-	// and returns the decision.
+	// Later sends a further packet of a flow, which First opened with decision d,
+	// to the given instance, and returns the decision as First does.
 	Later(instance, flow int, d carawaycart.Decision, now time.Time) carawaycart.Decision
-	// Unknown sends the first packet of a flow to an address that belongs to no
-	// service, and returns the decision.
+	// Unknown sends the first packet of a flow whose destination address belongs
+	// to no service to the given instance, and returns the decision.
 	Unknown(instance int, now time.Time) carawaycart.Decision
 	// Drain marks endpoint e as leaving and lets all instances receive the change.
 	Drain(e carawaycart.EndpointID, now time.Time)
@@ -34,6 +35,8 @@
 // given numbers of instances and endpoints, whose endpoints are not cold.
 func Run(t *testing.T, newFleet func(t *testing.T, instances, endpoints int) Fleet) {
 	start := time.Unix(1000, 0)
+	// Packets must reach the owner of their flow through every instance, not only
+	// through the one that opened the flow.
 	t.Run("EveryInstanceForwardsToOwner", func(t *testing.T) {
 		f := newFleet(t, 5, 6)
 		checkOwners(t, f, openFlows(t, f, start), start.Add(time.Second))
@@ -42,7 +45,7 @@
 		f := newFleet(t, 2, 3)
 		for i := range f.Instances() {
 			if d := f.Unknown(i, start); d.Verdict == carawaycart.VerdictForward {
-				t.Errorf("instance %d: got a flow to the address of no service forwarded to %s", i, d.Endpoint)
+				t.Errorf("instance %d: got a flow to an address of no service forwarded to %s, want it not forwarded", i, d.Endpoint)
 			}
 		}
 	})
@@ -60,6 +63,7 @@
 			}
 		}
 	})
+	// The owners of flows must not be stored only in the instance that opened them.
 	t.Run("InstanceRestartLosesNoFlow", func(t *testing.T) {
 		f := newFleet(t, 5, 6)
 		owners := openFlows(t, f, start)
@@ -69,15 +73,15 @@
 	})
 }
 
-// openFlows opens flowCount flows, spread over all instances, and returns their
-// decisions, which name their owners.
+// openFlows opens flowCount flows through all instances in turn, and returns the
+// decisions. The endpoint of a decision is the owner of its flow.
 func openFlows(t *testing.T, f Fleet, now time.Time) []carawaycart.Decision {
 	t.Helper()
 	owners := make([]carawaycart.Decision, flowCount)
 	for i := range owners {
 		owners[i] = f.First(i%f.Instances(), i, now)
 		if owners[i].Verdict != carawaycart.VerdictForward {
-			t.Fatalf("flow %d: got verdict %d for %s, want it forwarded", i, owners[i].Verdict, owners[i].Cause)
+			t.Fatalf("flow %d: got verdict %d with cause %s, want it forwarded", i, owners[i].Verdict, owners[i].Cause)
 		}
 	}
 	return owners
@@ -91,7 +95,7 @@
 		for instance := range f.Instances() {
 			d := f.Later(instance, i, want, now)
 			if d.Verdict != carawaycart.VerdictForward || d.Endpoint != want.Endpoint {
-				t.Fatalf("flow %d through instance %d: got verdict %d at %q for %s, want its owner %s",
+				t.Fatalf("flow %d through instance %d: got verdict %d, endpoint %q and cause %s, want it forwarded to its owner %s",
 					i, instance, d.Verdict, d.Endpoint, d.Cause, want.Endpoint)
 			}
 		}
