--- a/clock.go
+++ b/clock.go
@@ -6,23 +6,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// SystemClock is the Clock of the machine.
+// SystemClock is a Clock that returns the wall-clock time of the system.
 type SystemClock struct{}
 
 // NewSystemClock returns a SystemClock.
 func NewSystemClock() SystemClock { return SystemClock{} }
 
-// Now returns the machine's time.
+// Now returns the current wall-clock time.
 func (SystemClock) Now() time.Time { return time.Now() }
 
-// SteadyClock is a Clock whose times have no meaning but their differences: it
-// goes on while the machine is suspended and never jumps.
+// SteadyClock is a monotonic Clock that also advances while the machine is
+// suspended. Only the differences between its times are meaningful.
 type SteadyClock struct{}
 
 // NewSteadyClock returns a SteadyClock.
 func NewSteadyClock() SteadyClock { return SteadyClock{} }
 
-// Now returns the time since the machine was started.
+// Now returns the Unix epoch plus the time since boot, or the wall-clock time if
+// the boot-time clock cannot be read.
 func (SteadyClock) Now() time.Time {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/config.go
+++ b/config.go
@@ -6,56 +6,57 @@
 	"time"
 )
 
-// Profile is a named set of policies that services run under.
+// Profile is a named set of limits and timeouts that is assigned to services.
 type Profile struct {
 	Name ProfileName `json:"name"`
-	// ColdFlows is how many new flows an endpoint may take in sum while it is cold.
+	// ColdFlows is the total number of new flows that an endpoint may receive while it is cold.
 	ColdFlows int `json:"coldFlows"`
-	// ColdRequests is how many requests a cold endpoint may run at once.
+	// ColdRequests is the number of requests that a cold endpoint may run concurrently.
 	ColdRequests int `json:"coldRequests"`
-	// WarmupSeconds is how long new flows ramp up after an endpoint reports warm.
+	// WarmupSeconds is how long new flows ramp up after an endpoint reports that it is no longer cold.
 	WarmupSeconds Seconds `json:"warmupSeconds"`
-	// DrainSeconds is how long flows of a leaving endpoint may go on.
+	// DrainSeconds is how long the flows of a leaving endpoint may continue.
 	DrainSeconds Seconds `json:"drainSeconds"`
-	// FlowIdleSeconds is how long a silent flow is remembered.
+	// FlowIdleSeconds is how long the record of an idle flow is retained.
 	FlowIdleSeconds Seconds `json:"flowIdleSeconds"`
-	// RequestSeconds bounds a request from arrival to answer.
+	// RequestSeconds limits the time from the arrival of a request to its answer.
 	RequestSeconds Seconds `json:"requestSeconds"`
-	// QueueSeconds bounds the wait for a free request slot.
+	// QueueSeconds limits the time that a request waits for a free request slot.
 	QueueSeconds Seconds `json:"queueSeconds"`
-	// RetryPercent is how many retries may be sent per hundred fresh requests.
+	// RetryPercent is the number of retries allowed per 100 new requests.
 	RetryPercent int `json:"retryPercent"`
-	// AnswerSeconds is how long the answer to a keyed request is kept.
+	// AnswerSeconds is how long the answer to a keyed request is retained.
 	AnswerSeconds Seconds `json:"answerSeconds"`
 }
 
-// Service is a named address behind which endpoints take flows and requests.
+// Service is a named address whose flows and requests are balanced over endpoints.
 type Service struct {
 	ID      ServiceID      `json:"id"`
 	Address netip.AddrPort `json:"address"`
 	Profile ProfileName    `json:"profile"`
 }
 
-// EndpointMark is what operators or keepers have decided about an endpoint.
+// EndpointMark is the stage of an endpoint's removal from service, as set by
+// operators or keepers.
 type EndpointMark string
 
 // The marks of an endpoint.
 const (
 	MarkNone    EndpointMark = ""
-	MarkLeaving EndpointMark = "leaving" // takes no new work, keeps its flows
-	MarkDrained EndpointMark = "drained" // owns no slots; recorded flows may go on
-	MarkEnded   EndpointMark = "ended"   // past its drain deadline; its flows are given up
+	MarkLeaving EndpointMark = "leaving" // receives no new flows or requests; existing flows continue
+	MarkDrained EndpointMark = "drained" // assigned to no slots; recorded flows may continue
+	MarkEnded   EndpointMark = "ended"   // past its drain deadline; its flows are abandoned
 )
 
-// Endpoint is one host of a service.
+// Endpoint is a network host that serves one service.
 type Endpoint struct {
 	ID             EndpointID     `json:"id"`
 	Service        ServiceID      `json:"service"`
 	Zone           ZoneID         `json:"zone"`
 	FlowAddress    netip.AddrPort `json:"flowAddress"`
 	RequestAddress netip.AddrPort `json:"requestAddress"`
-	Flows          int            `json:"flows"` // connections the host can hold
-	Slots          int            `json:"slots"` // requests the host can run at once
+	Flows          int            `json:"flows"` // maximum number of concurrent flows
+	Slots          int            `json:"slots"` // maximum number of concurrent requests
 	Mark           EndpointMark   `json:"mark,omitempty"`
 	DrainDeadline  time.Time      `json:"drainDeadline,omitzero"`
 }
@@ -63,10 +64,10 @@
 // Zone is an availability zone.
 type Zone struct {
 	ID  ZoneID `json:"id"`
-	Out bool   `json:"out,omitempty"` // operators have taken the zone out
+	Out bool   `json:"out,omitempty"` // out of service by an operator's command
 }
 
-// ObjectKind tells what a Change is about.
+// ObjectKind is the type of configuration object that a Change modifies.
 type ObjectKind string
 
 // The kinds of configuration object.
@@ -75,8 +76,8 @@
 	KindService  ObjectKind = "service"
 	KindEndpoint ObjectKind = "endpoint"
 	KindZone     ObjectKind = "zone"
-	KindBundle   ObjectKind = "bundle" // several objects at once
-	KindSettle   ObjectKind = "settle" // base endpoints of a service's slots have no flows left
+	KindBundle   ObjectKind = "bundle" // several objects in one change
+	KindSettle   ObjectKind = "settle" // makes the current endpoint the base of slots whose base has no flows left
 )
 
 // Change is one entry of the change log, which is also the audit trail.
@@ -93,13 +94,14 @@
 
 // SlotTable assigns the slots of one service to its endpoints.
 //
-// Members lists endpoints; Base and Current hold an index into Members for each
-// slot, or NoMember.
+// Members lists endpoints. Base and Current are indexed by slot and hold an index
+// into Members, or NoMember. The base endpoint of a slot owns the flows that have
+// no record; the current endpoint receives new flows.
 type SlotTable struct {
 	Members []EndpointID `json:"members"`
 	Base    []uint16     `json:"base"`
 	Current []uint16     `json:"current"`
 }
 
-// NoMember marks a slot that has no endpoint.
+// NoMember is the index in Base or Current for a slot without an endpoint.
 const NoMember = ^uint16(0)
--- a/flow.go
+++ b/flow.go
@@ -10,23 +10,23 @@
 // Protocol is an IP protocol number.
 type Protocol uint8
 
-// The transport protocols that can be balanced.
+// The supported transport protocols.
 const (
 	TCP Protocol = 6
 	UDP Protocol = 17
 )
 
-// FlowKey identifies a flow by its caller, its service address and protocol.
+// FlowKey identifies a flow by its caller address, service address and protocol.
 type FlowKey struct {
 	Caller   netip.AddrPort
 	Service  netip.AddrPort
 	Protocol Protocol
 }
 
-// flowKeyBytes is two 16-byte addresses, two ports and the protocol.
+// flowKeyBytes is the encoded size of two 16-byte addresses, two ports and the protocol.
 const flowKeyBytes = 2*16 + 2*2 + 1
 
-// Fingerprint returns the hash of k by xxHash64.
+// Fingerprint returns the xxHash64 hash of k.
 func (k FlowKey) Fingerprint() Fingerprint {
 	var b [flowKeyBytes]byte
 	a := k.Caller.Addr().As16()
@@ -39,17 +39,17 @@
 	return Fingerprint(xxhash.Sum64(b[:]))
 }
 
-// PacketKind tells where in the life of its flow a packet stands.
+// PacketKind tells whether a packet opens, continues or ends its flow.
 type PacketKind uint8
 
 // The kinds of packet.
 const (
-	PacketMiddle PacketKind = iota // any packet that neither opens nor ends a flow
+	PacketMiddle PacketKind = iota // neither opens nor ends a flow
 	PacketFirst                    // opens a flow: TCP SYN without ACK
 	PacketLast                     // ends a flow: TCP FIN or RST
 )
 
-// Packet is the decoded part of a packet that decisions need.
+// Packet holds the decoded fields of a packet that forwarding decisions use.
 type Packet struct {
 	Key     FlowKey
 	Kind    PacketKind
@@ -61,19 +61,19 @@
 	Sequence     uint32
 	Acknowledged uint32
 	DataBytes    int
-	Copy         int  // how often a first packet was sent before
-	Reset        bool // ends the flow at once
+	Copy         int  // number of earlier transmissions of a first packet
+	Reset        bool // ends the flow immediately
 }
 
-// Fault tells what is wrong with a datagram that cannot be decoded.
+// Fault is the reason why a datagram cannot be decoded.
 type Fault uint8
 
-// The faults of a datagram that should hold a packet with a Token.
+// The faults of a datagram in a format whose packets carry a Token.
 const (
 	FaultNone   Fault = iota
-	FaultShort        // shorter than a head
-	FaultLength       // another length than the head states
-	FaultFlags        // flags that no caller sends
+	FaultShort        // shorter than a header
+	FaultLength       // length differs from the one in the header
+	FaultFlags        // combination of flags that no caller sends
 	faultCount
 )
 
@@ -90,36 +90,36 @@
 	return faultNames[f]
 }
 
-// Verdict is what is to be done with a packet.
+// Verdict is the action to perform on a packet.
 type Verdict uint8
 
-// The verdicts on a packet.
+// The verdicts.
 const (
 	VerdictDrop    Verdict = iota // discard and count the Cause
 	VerdictForward                // send to Endpoint
-	VerdictRelay                  // send once to Instance
-	VerdictReset                  // tell the caller that the flow does not exist; count the Cause
+	VerdictRelay                  // send to Instance, which must not relay it again
+	VerdictReset                  // reset the flow, which does not exist, at the caller; count the Cause
 )
 
-// Cause tells why a packet was dropped.
+// Cause is the reason why a packet was dropped or answered with a reset.
 type Cause uint8
 
-// The causes of a drop.
+// The causes of drops and resets.
 const (
 	CauseNone           Cause = iota
 	CauseUnknownService       // no service has the address
-	CauseNoEndpoint           // the service has no endpoint that may take the flow
+	CauseNoEndpoint           // the service has no endpoint that may receive the flow
 	CauseNoKeeper             // no instance is ready to decide
-	CauseNotKeeper            // relayed to an instance that does not decide for the slot
-	CauseNoCapacity           // every endpoint of the service is at its limit
-	CauseSpreading            // other instances may not know yet that the slot needs its keeper
+	CauseNotKeeper            // relayed to an instance that is not the keeper of the slot
+	CauseNoCapacity           // every endpoint of the service is at its flow limit
+	CauseSpreading            // other instances may not know yet that packets of the slot must pass through its keeper
 	CauseNotReady             // this instance has no configuration yet
 	CauseNoRoute              // the configuration has no route for the address
 	CauseEnded                // the endpoint that owned the flow has ended
-	CauseUnknownToken         // no known endpoint has the packet's token
-	CauseCold                 // every endpoint that may take the flow is cold and at its limit
-	CauseSilent               // the endpoint that owns the flow answers nothing
-	CauseOverload             // the endpoints have more than they can answer in time
+	CauseUnknownToken         // no known lifetime has the token of the packet
+	CauseCold                 // every endpoint that may receive the flow is cold and at its limit
+	CauseSilent               // the endpoint that owns or could receive the flow is silent
+	CauseOverload             // the endpoints have more requests than they can answer in time
 	causeCount
 )
 
@@ -139,27 +139,28 @@
 	return causeNames[c]
 }
 
-// Decision is the outcome for one packet.
+// Decision is the result of routing one packet.
 type Decision struct {
 	Verdict  Verdict
 	Cause    Cause
 	Endpoint EndpointID
 	Instance InstanceID
-	Record   bool // the keeper recorded a new flow, which must be replicated
+	Record   bool // the keeper recorded a new flow, whose record must be replicated
 
 	// The fields below are set only by formats whose packets carry a Token.
 
-	Token   Token      // to be written into a first packet
+	Token   Token      // to write into a first packet
 	Zone    ZoneID     // of the endpoint
 	Number  HostNumber // of the endpoint at Address
 	Address netip.AddrPort
 }
 
-// FlowRecord states which endpoint owns a flow that its slot's base does not.
+// FlowRecord states which endpoint owns a flow that the base endpoint of its slot
+// does not own.
 type FlowRecord struct {
 	Service     ServiceID
 	Fingerprint Fingerprint
 	Endpoint    EndpointID
-	Revision    Revision // configuration under which the flow was opened
-	OpenedUnix  int64    // nanoseconds since 1970
+	Revision    Revision // revision of the configuration when the flow was opened
+	OpenedUnix  int64    // time at which the flow was opened, in nanoseconds since the Unix epoch
 }
--- a/ids.go
+++ b/ids.go
@@ -2,55 +2,59 @@
 
 import "time"
 
-// InstanceID names one balancer instance, unique over its restarts.
+// InstanceID identifies a balancer instance. It is unique in the fleet and over
+// restarts.
 type InstanceID string
 
-// ZoneID names an availability zone.
+// ZoneID identifies an availability zone.
 type ZoneID string
 
-// ServiceID names a service; it is also the host name of its requests.
+// ServiceID identifies a service. It is also the host name in its requests.
 type ServiceID string
 
-// EndpointID names one endpoint, a host that serves one service.
+// EndpointID identifies an endpoint.
 type EndpointID string
 
-// ProfileName names a profile.
+// ProfileName identifies a Profile.
 type ProfileName string
 
-// OperatorName names the operator who made a change.
+// OperatorName identifies the operator who made a change.
 type OperatorName string
 
-// ChangeID identifies one attempted change, unique over all operators.
+// ChangeID identifies one attempted change. It is unique over all operators.
 type ChangeID string
 
-// Revision counts accepted changes of configuration; zero means none.
+// Revision is the number of accepted configuration changes; zero means none.
 type Revision uint64
 
-// Incarnation orders the statements that one instance makes about itself.
+// Incarnation orders the statements that an instance makes about its own state;
+// the highest one is valid.
 type Incarnation uint64
 
-// Version orders the statements made about one endpoint by its keepers.
+// Version orders the statuses of an endpoint that its keepers publish; the highest
+// one is valid.
 type Version uint64
 
-// IdempotencyKey identifies one order over all of its tries.
+// IdempotencyKey identifies a keyed request over all of its attempts.
 type IdempotencyKey string
 
-// RequestDigest is a hash of a request's method, target and body length.
+// RequestDigest is a hash of the method, target and body length of a request.
 type RequestDigest uint64
 
-// AttemptID identifies one try of a keyed request, unique over all instances.
+// AttemptID identifies one attempt of a keyed request. It is unique over all
+// instances.
 type AttemptID string
 
-// PermitID identifies one permission to use a request slot of an endpoint.
+// PermitID identifies a permit, which allows one request to use a request slot of an endpoint.
 type PermitID string
 
-// SlotIndex is the index of a slot in its service's table.
+// SlotIndex is the index of a slot in the SlotTable of its service.
 type SlotIndex uint32
 
 // Fingerprint is the 64-bit hash of a FlowKey.
 type Fingerprint uint64
 
-// Seconds is a span of whole seconds in a profile.
+// Seconds is a duration in whole seconds.
 type Seconds int
 
 // Duration returns s as a time.Duration.
--- a/interfaces.go
+++ b/interfaces.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Clock tells the time.
+// Clock provides the current time.
 type Clock interface {
 	// Now returns the current time.
 	Now() time.Time
@@ -15,7 +15,7 @@
 // StoreIndex orders the writes of the platform's store; zero means absent.
 type StoreIndex uint64
 
-// StoreEntry is one key of the platform's store with its value.
+// StoreEntry is a key of the platform's store with its value.
 type StoreEntry struct {
 	Key   string     `json:"key"`
 	Value []byte     `json:"value"`
@@ -28,36 +28,39 @@
 	Get(ctx context.Context, key string) (StoreEntry, error)
 	// List returns the entries whose keys begin with prefix, in key order.
 	List(ctx context.Context, prefix string) ([]StoreEntry, error)
-	// Wait returns the entry at key as soon as its index exceeds index, or an
-	// error that is NotFound when the deadline of ctx or of the service passes.
+	// Wait blocks until the index of the entry at key exceeds index and returns
+	// the entry. The error is NotFound if the deadline of ctx or the store's own
+	// time limit passes first.
 	Wait(ctx context.Context, key string, index StoreIndex) (StoreEntry, error)
-	// CompareAndSwap writes value if the entry's index equals index and
-	// reports whether it did; an error leaves the outcome unknown.
+	// CompareAndSwap writes value if the index of the entry equals index and
+	// reports whether it did. After an error the value may or may not have been
+	// written.
 	CompareAndSwap(ctx context.Context, key string, value []byte, index StoreIndex) (bool, error)
 }
 
-// ListedInstance is one row of the platform's instance list.
+// ListedInstance is an entry of the platform's instance list.
 type ListedInstance struct {
 	ID          InstanceID     `json:"id"`
 	Zone        ZoneID         `json:"zone"`
 	PeerAddress netip.AddrPort `json:"peerAddress"`
 }
 
-// InstanceList is the platform's lagging list of live instances.
+// InstanceList is the platform's list of live instances, which may lag behind
+// their actual state.
 type InstanceList interface {
 	// Instances returns the listed balancer instances.
 	Instances(ctx context.Context) ([]ListedInstance, error)
 }
 
-// Reporter fetches the load report of an endpoint.
+// Reporter fetches the load reports of endpoints.
 type Reporter interface {
-	// Report returns the endpoint's current report.
+	// Report returns the current load report of the endpoint at address.
 	Report(ctx context.Context, address netip.AddrPort) (Report, error)
 }
 
-// Router decides packets. It is implemented for formats that carry a Token, and
-// for those that do not.
+// Router makes the forwarding decisions for packets. There is one implementation
+// for formats whose packets carry a Token and one for the others.
 type Router interface {
-	// Decide returns what is to be done at now with packet p.
+	// Decide returns the decision for packet p at time now.
 	Decide(p *Packet, now time.Time) Decision
 }
--- a/lifetime.go
+++ b/lifetime.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Token is the value by which packets of a flow name the lifetime that owns the
-// flow; zero means none.
+// Token is a value in the packets of a flow that identifies the Lifetime that owns
+// the flow; zero means none.
 type Token uint32
 
-// HostNumber tells an endpoint apart from others that had its address.
+// HostNumber distinguishes an endpoint from others that have used its address.
 type HostNumber uint64
 
-// UnixMillis is a time of day in milliseconds since 1970.
+// UnixMillis is a time in milliseconds since the Unix epoch.
 type UnixMillis int64
 
 // Lifetime is one run of an endpoint, from its start to its end.
 type Lifetime struct {
 	ID       EndpointID
-	Born     UnixMillis // when it started; zero if it did not say
+	Born     UnixMillis // start time; zero if the endpoint did not report it
 	Number   HostNumber
 	Service  ServiceID
 	Zone     ZoneID
 	Address  netip.AddrPort
 	Slots    int
 	Draining bool
-	ColdLeft time.Duration // remaining cold time when the entry was written
+	ColdLeft time.Duration // remaining cold time when the store entry was written
 }
 
 // LifetimeKey identifies a Lifetime.
@@ -37,7 +37,7 @@
 // Key returns the identity of l.
 func (l *Lifetime) Key() LifetimeKey { return LifetimeKey{ID: l.ID, Born: l.Born} }
 
-// RequestKind tells whether a request may be repeated.
+// RequestKind tells whether a request may be sent again.
 type RequestKind string
 
 // The kinds of request.
@@ -47,28 +47,28 @@
 	RequestUpload RequestKind = "upload"
 )
 
-// RouteTarget is one service of a route with its share of the new flows.
+// RouteTarget is a service of a Route with its relative share of the new flows.
 type RouteTarget struct {
 	Service ServiceID
 	Weight  int
 }
 
-// Route sends the new flows to an address to services.
+// Route distributes the new flows to an address over services.
 type Route struct {
 	Name     string
 	Address  netip.AddrPort
 	Targets  []RouteTarget
 	Kind     RequestKind
 	Priority int           // 0 is the highest
-	Target   time.Duration // within which a request should be answered
+	Target   time.Duration // latency within which a request should be answered
 }
 
-// ServicePolicy is what the routing configuration says of a service.
+// ServicePolicy holds the settings of a service in the routing configuration.
 type ServicePolicy struct {
 	ID            ServiceID
 	HealthPath    string
-	Flows         int     // that an endpoint can hold
-	ColdPerSecond float64 // requests that a cold endpoint bears
+	Flows         int     // maximum number of concurrent flows per endpoint
+	ColdPerSecond float64 // request rate that a cold endpoint can serve
 }
 
 // RouteConfig is one version of the routing configuration.
@@ -76,31 +76,31 @@
 	Version   uint64
 	Routes    []Route
 	Services  []ServicePolicy
-	IdleLimit time.Duration // after which a silent flow may be discarded
+	IdleLimit time.Duration // idle time after which a flow may be discarded
 }
 
-// Registration is how an instance makes itself known to the others.
+// Registration is the store entry by which other instances discover an instance.
 type Registration struct {
 	ID          InstanceID
 	Zone        ZoneID
-	PeerAddress netip.AddrPort // TCP for calls, UDP for news
+	PeerAddress netip.AddrPort // TCP for calls, UDP for updates
 }
 
-// StoreRevision counts the changes of the platform's store; zero means none.
+// StoreRevision is the number of changes to the platform's store; zero means none.
 type StoreRevision uint64
 
-// StoreItem is one key of the platform's store as it was written last.
+// StoreItem is a key of the platform's store with the value last written to it.
 type StoreItem struct {
 	Key      string
 	Value    []byte
 	Revision StoreRevision
 }
 
-// Record is the meaning of one StoreItem; at most one field is set, and none if
-// the item names nothing that can be used.
+// Record is a decoded StoreItem. At most one field is set; none is set if the item
+// is of an unknown or unusable kind.
 type Record struct {
 	Config   *RouteConfig
 	Lifetime *Lifetime
-	ZoneOut  ZoneID // a zone that operators have taken out
+	ZoneOut  ZoneID // zone that operators have taken out of service
 	Instance *Registration
 }
--- a/status.go
+++ b/status.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// MemberState is the state of an instance as its peers see it.
+// MemberState is the state of a member, an instance of the fleet, as its peers
+// see it.
 type MemberState uint8
 
-// The states of an instance, in the order in which they override each other
-// within one incarnation.
+// The states of a member. Within one incarnation, a later state in this list
+// overrides an earlier one.
 const (
-	MemberJoining MemberState = iota // alive, still copying state
-	MemberReady                      // alive and able to decide
-	MemberSuspect                    // did not answer probes
+	MemberJoining MemberState = iota // alive, still receiving state from its peers
+	MemberReady                      // alive and able to make forwarding decisions
+	MemberSuspect                    // did not answer probes; not yet declared failed
 	MemberLeft                       // stopped as planned
 	MemberDead                       // declared failed
 )
@@ -28,24 +29,24 @@
 	return memberStateNames[s]
 }
 
-// Member is what is known about one instance.
+// Member is the known state of one instance.
 type Member struct {
 	ID          InstanceID
 	Zone        ZoneID
 	PeerAddress netip.AddrPort // TCP for calls, UDP for relayed packets
 	Incarnation Incarnation
 	State       MemberState
-	Revision    Revision // configuration the instance runs
+	Revision    Revision // revision of the configuration that the instance uses
 }
 
-// EndpointState is the condition of an endpoint as its keeper judges it.
+// EndpointState is the state of an endpoint as determined by its keeper.
 type EndpointState uint8
 
 // The states of an endpoint.
 const (
 	EndpointUnknown EndpointState = iota // no report yet; treated as cold
-	EndpointOpen                         // takes new work
-	EndpointCold                         // takes only what its profile allows
+	EndpointOpen                         // receives new flows and requests
+	EndpointCold                         // receives only the new flows and requests that its profile allows
 	EndpointFull                         // at its limit or shedding
 	EndpointSilent                       // stopped reporting
 	EndpointDead                         // refuses connections
@@ -61,10 +62,12 @@
 	return endpointStateNames[s]
 }
 
-// EndpointStatus is what the keeper of an endpoint tells all instances.
+// EndpointStatus is the state of an endpoint that its keeper broadcasts to all
+// instances.
 //
-// While Guarded, every packet of the slots whose current endpoint it is must
-// pass through the keeper, because some flows of those slots live elsewhere.
+// While an endpoint is Guarded, every packet of the slots whose current endpoint
+// it is must pass through the keeper, because other endpoints own some flows of
+// those slots.
 type EndpointStatus struct {
 	Endpoint EndpointID
 	Keeper   InstanceID
@@ -73,7 +76,7 @@
 	Guarded  bool
 }
 
-// Report is what an endpoint says about itself; it may lag or mislead.
+// Report is the load that an endpoint reports. It may be outdated or wrong.
 type Report struct {
 	Flows    int  `json:"flows"`
 	Requests int  `json:"requests"`
@@ -81,17 +84,17 @@
 	Shedding bool `json:"shedding"`
 }
 
-// Outcome is what a caller is told about its request.
+// Outcome is the result of a request that is returned to its caller.
 type Outcome string
 
 // The outcomes of a request.
 const (
-	OutcomeAnswered Outcome = "answered" // the endpoint's own answer follows
-	OutcomeNotRun   Outcome = "notRun"   // certainly not run; may be sent again
+	OutcomeAnswered Outcome = "answered" // the answer of the endpoint follows
+	OutcomeNotRun   Outcome = "notRun"   // known not to have run; may be sent again
 	OutcomeUnknown  Outcome = "unknown"  // may or may not have run
 )
 
-// Answer is the kept answer to a keyed request.
+// Answer is the retained answer to a keyed request.
 type Answer struct {
 	Status      int
 	ContentType string
@@ -101,11 +104,11 @@
 // ClaimState is the state of a keyed request.
 type ClaimState uint8
 
-// The states of a claim.
+// The states of a Claim.
 const (
 	ClaimPending  ClaimState = iota // may have reached an endpoint
-	ClaimAnswered                   // the answer is kept
-	ClaimNotRun                     // certainly not run
+	ClaimAnswered                   // the answer is retained
+	ClaimNotRun                     // known not to have run
 	ClaimUnknown                    // may or may not have run
 )
 
@@ -114,9 +117,9 @@
 	Key      IdempotencyKey
 	Service  ServiceID
 	Digest   RequestDigest
-	Attempt  AttemptID  // the try that may reach an endpoint
-	Entry    InstanceID // the instance that makes the attempt
+	Attempt  AttemptID  // attempt that may reach an endpoint
+	Entry    InstanceID // instance that makes the attempt
 	State    ClaimState
 	Answer   Answer
-	Deadline time.Time // when the claim may be forgotten
+	Deadline time.Time // time at which the claim may be deleted
 }
