--- a/cmd/carawaycart/balancer.go
+++ b/cmd/carawaycart/balancer.go
@@ -20,15 +20,16 @@
 	"carawaycart/internal/settings"
 )
 
-// settingsVariable names the settings file where the platform starts instances.
-const settingsVariable = "CARAWAYCART_SETTINGS"
+// settingsPathVariable is the environment variable with the path of the settings
+// file. The platform sets it when it starts an instance.
+const settingsPathVariable = "CARAWAYCART_SETTINGS"
 
 func newBalancerCommand(stderr io.Writer) *ffcli.Command {
 	flags := newFlags("balancer")
-	config := flags.String("config", os.Getenv(settingsVariable), "settings `file` of the instance; without it, the one that "+settingsVariable+" names")
-	verbosity := flags.Int("v", 0, "verbosity of logs; 1 adds every applied change")
+	config := flags.String("config", os.Getenv(settingsPathVariable), "settings `file` of the instance (default $"+settingsPathVariable+")")
+	verbosity := flags.Int("v", 0, "log verbosity; 1 also logs every applied change")
 	return newCommand(stderr, "balancer", "carawaycart balancer -config FILE.ini",
-		"Run one instance until SIGINT or SIGTERM, then stop it as planned.", flags,
+		"Run one instance until SIGINT or SIGTERM, then shut it down gracefully.", flags,
 		func(ctx context.Context, args []string) error {
 			if *config == "" || len(args) > 0 {
 				return usagef("balancer: want -config FILE.ini and no arguments")
@@ -38,7 +39,7 @@
 }
 
 func runBalancer(ctx context.Context, path string, verbosity int) error {
-	setUpLogs(verbosity)
+	logToStderr(verbosity)
 	s, err := settings.Read(path)
 	if err != nil {
 		return err
@@ -61,8 +62,8 @@
 	return b.Stop(stop)
 }
 
-// runEdge runs an instance for packets that carry tokens until ctx ends, and
-// reads its settings again when the file at path changes or SIGHUP comes.
+// runEdge runs an instance for packets that carry tokens until ctx is done. It
+// reloads the settings when the file at path changes or on SIGHUP.
 func runEdge(ctx context.Context, path string, s settings.Settings) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -77,16 +78,16 @@
 		return err
 	}
 	watch := settings.NewWatch(path, hangup, e.Reload)
-	trim := newTrimmer(trimPeriod)
+	releaser := newMemoryReleaser(memoryReleasePeriod)
 	<-ctx.Done()
-	trim.close()
+	releaser.close()
 	watch.Close()
 	e.Stop()
 	return nil
 }
 
-// setUpLogs makes klog write to standard error.
-func setUpLogs(verbosity int) {
+// logToStderr configures klog to write to standard error.
+func logToStderr(verbosity int) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	_ = flags.Set("logtostderr", "true")
@@ -120,8 +121,9 @@
 	return nil
 }
 
-// quietLogs sends logs to the file at path, or nowhere if path is empty.
-func quietLogs(path string) (func(), error) {
+// redirectLogs redirects klog to the file at path, or discards its output if path is
+// empty. The returned function flushes and closes the file.
+func redirectLogs(path string) (func(), error) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	_ = flags.Set("logtostderr", "false")
@@ -134,7 +136,7 @@
 	_ = flags.Set("v", "1")
 	file, err := os.Create(path)
 	if err != nil {
-		return nil, errors.Annotate(err, "open log")
+		return nil, errors.Annotate(err, "create log file")
 	}
 	klog.SetOutput(file)
 	return func() {
--- a/cmd/carawaycart/demo.go
+++ b/cmd/carawaycart/demo.go
@@ -14,14 +14,14 @@
 
 func newDemoCommand(stdout, stderr io.Writer) *ffcli.Command {
 	flags := newFlags("demo")
-	site := flags.String("site", "froepapir", "customer whose sizes to use, froepapir or brunnhalder")
-	seed := flags.Uint64("seed", 1, "seed of random choices")
+	site := flags.String("site", "froepapir", "customer site whose sizes are used, froepapir or brunnhalder")
+	seed := flags.Uint64("seed", 1, "seed of the random generator")
 	report := flags.String("report", "", "`file` to write the report to as JSON")
 	log := flags.String("log", "", "`file` to write logs to")
-	fabric := flags.String("fabric", "both", "packets to use: geneve, token (on an emulated platform) or both")
-	feeds := flags.Int("feeds", 0, "flows of the main service (0: as many as by default)")
+	fabric := flags.String("fabric", "both", "packet format to use: geneve, token (on an emulated platform) or both")
+	feeds := flags.Int("feeds", 0, "number of flows of the main service; 0 selects the default")
 	return newCommand(stderr, "demo", "carawaycart demo [-fabric NAME] [-site NAME] [-seed N] [-report FILE]",
-		"Run instances and stand-ins in one process through changes and failures.", flags,
+		"Run instances and simulated endpoints in one process and subject them to changes and failures.", flags,
 		func(ctx context.Context, args []string) error {
 			if len(args) > 0 {
 				return usagef("demo: want no arguments")
@@ -36,7 +36,7 @@
 			if *feeds > 0 {
 				options.Feeds = *feeds
 			}
-			closeLogs, err := quietLogs(*log)
+			closeLogs, err := redirectLogs(*log)
 			if err != nil {
 				return err
 			}
@@ -56,20 +56,21 @@
 		})
 }
 
-// runTokenDemo runs the demo of packets that carry tokens.
+// runTokenDemo runs the demo with packets that carry tokens and fails if a promise
+// is broken.
 func runTokenDemo(ctx context.Context, stdout, progress io.Writer) error {
 	o := demo.DefaultTokenOptions()
 	o.Progress = progress
-	summary, broken, err := demo.RunToken(ctx, o)
+	summary, violations, err := demo.RunToken(ctx, o)
 	if err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintln(stdout, "packets with tokens:", summary)
-	for _, b := range broken {
+	for _, b := range violations {
 		_, _ = fmt.Fprintln(stdout, "BROKEN PROMISE:", b)
 	}
-	if len(broken) > 0 {
-		return errors.Errorf("%d promises were not held", len(broken))
+	if len(violations) > 0 {
+		return errors.Errorf("%d promises were not held", len(violations))
 	}
 	_, _ = fmt.Fprintln(stdout, "all promises held")
 	return nil
@@ -88,12 +89,12 @@
 			return err
 		}
 	}
-	breaches := r.Breaches()
-	for _, b := range breaches {
+	violations := r.Breaches()
+	for _, b := range violations {
 		_, _ = fmt.Fprintf(stdout, "BROKEN PROMISE: %s (seen: %s)\n", b.Promise, b.Seen)
 	}
-	if len(breaches) > 0 {
-		return errors.Errorf("%d promises were not held", len(breaches))
+	if len(violations) > 0 {
+		return errors.Errorf("%d promises were not held", len(violations))
 	}
 	_, _ = fmt.Fprintln(stdout, "all promises held")
 	return nil
--- a/cmd/carawaycart/inspect.go
+++ b/cmd/carawaycart/inspect.go
@@ -19,8 +19,8 @@
 	"carawaycart/io/operator"
 )
 
-// maxAnswer bounds an instance's answer in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes is the maximum size of a response of an instance in bytes.
+const maxResponseBytes = 64 << 20
 
 func newAuditCommand(stdout, stderr io.Writer) *ffcli.Command {
 	var object, by string
@@ -28,22 +28,22 @@
 	register := func(flags *flag.FlagSet) {
 		flags.StringVar(&object, "object", "", "only changes of this `KIND/NAME`")
 		flags.StringVar(&by, "by", "", "only changes by this operator")
-		flags.Uint64Var(&from, "from", 1, "only changes from this revision on")
+		flags.Uint64Var(&from, "from", 1, "only changes at or after this revision")
 	}
 	return newStoreCommand(stdout, stderr, "audit", "carawaycart audit [-object KIND/NAME] [-by OPERATOR] [-from REVISION]",
-		"Read the audit trail of changes.", 0, func(ctx context.Context, s *session, _ []string) error {
+		"List the changes in the audit trail.", 0, func(ctx context.Context, s *session, _ []string) error {
 			changes, err := s.log.Changes(ctx, carawaycart.Revision(from))
 			if err != nil {
 				return err
 			}
-			kept := []carawaycart.Change{}
+			matching := []carawaycart.Change{}
 			for _, c := range changes {
 				name := string(c.Kind) + "/" + c.Name
 				if (object == "" || object == name) && (by == "" || by == string(c.Operator)) {
-					kept = append(kept, c)
+					matching = append(matching, c)
 				}
 			}
-			return writeChanges(s, kept)
+			return writeChanges(s, matching)
 		}, register)
 }
 
@@ -63,12 +63,13 @@
 	return t.Flush()
 }
 
-// ask gets a JSON answer from the operator port of an instance.
-func ask(ctx context.Context, instance, path string, query url.Values, answer any) error {
+// queryInstance sends a GET request to the operator port of an instance and decodes
+// the JSON response into answer.
+func queryInstance(ctx context.Context, instance, path string, query url.Values, answer any) error {
 	if instance == "" {
 		return usagef("want -instance IP:PORT, the operator address of an instance")
 	}
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+instance+path+"?"+query.Encode(), nil)
 	if err != nil {
@@ -76,27 +77,27 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return errors.Annotatef(err, "ask instance %s", instance)
+		return errors.Annotatef(err, "query instance %s", instance)
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return errors.Annotatef(err, "ask instance %s", instance)
+		return errors.Annotatef(err, "read the response of instance %s", instance)
 	}
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("instance %s: %s", instance, strings.TrimSpace(string(data)))
 	}
-	return errors.Annotatef(json.Unmarshal(data, answer), "answer of instance %s", instance)
+	return errors.Annotatef(json.Unmarshal(data, answer), "decode the response of instance %s", instance)
 }
 
 func newStatusCommand(stdout, stderr io.Writer) *ffcli.Command {
 	flags := newFlags("status")
 	instance := flags.String("instance", "", "operator `address` of an instance")
 	output := flags.String("output", "table", "`format` of the output, table or json")
-	return newCommand(stderr, "status", "carawaycart status -instance IP:PORT", "Show the fleet as one instance sees it.", flags,
+	return newCommand(stderr, "status", "carawaycart status -instance IP:PORT", "Show the state of the fleet as known to one instance.", flags,
 		func(ctx context.Context, _ []string) error {
 			var s operator.Status
-			if err := ask(ctx, *instance, "/status", nil, &s); err != nil {
+			if err := queryInstance(ctx, *instance, "/status", nil, &s); err != nil {
 				return err
 			}
 			if *output == "json" {
@@ -129,7 +130,7 @@
 }
 
 func newExplainCommand(stdout, stderr io.Writer) *ffcli.Command {
-	return newCommand(stderr, "explain", "carawaycart explain flow|key", "Explain why a flow or key went where it did.", nil, nil,
+	return newCommand(stderr, "explain", "carawaycart explain flow|key", "Explain how a flow or a keyed request is routed.", nil, nil,
 		newExplainFlowCommand(stdout, stderr), newExplainKeyCommand(stdout, stderr))
 }
 
@@ -138,7 +139,7 @@
 	instance := flags.String("instance", "", "operator `address` of an instance")
 	protocol := flags.String("protocol", "tcp", "tcp or udp")
 	return newCommand(stderr, "flow", "carawaycart explain flow -instance IP:PORT CALLER SERVICE",
-		"Explain where packets from address CALLER to address SERVICE go.", flags,
+		"Explain how packets from address CALLER to address SERVICE are routed.", flags,
 		func(ctx context.Context, args []string) error {
 			if len(args) != 2 {
 				return usagef("explain flow: want CALLER SERVICE, both IP:PORT")
@@ -148,7 +149,7 @@
 			}
 			var e operator.FlowExplanation
 			query := url.Values{"protocol": {*protocol}, "caller": {args[0]}, "service": {args[1]}}
-			if err := ask(ctx, *instance, "/explain/flow", query, &e); err != nil {
+			if err := queryInstance(ctx, *instance, "/explain/flow", query, &e); err != nil {
 				return err
 			}
 			return (&session{stdout: stdout}).writeJSON(e)
@@ -159,13 +160,13 @@
 	flags := newFlags("key")
 	instance := flags.String("instance", "", "operator `address` of an instance")
 	return newCommand(stderr, "key", "carawaycart explain key -instance IP:PORT KEY",
-		"Tell what is known of the request with an idempotency key.", flags,
+		"Show the record of the request with an idempotency key.", flags,
 		func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
 				return usagef("explain key: want KEY")
 			}
 			var e operator.KeyExplanation
-			if err := ask(ctx, *instance, "/explain/key", url.Values{"key": {args[0]}}, &e); err != nil {
+			if err := queryInstance(ctx, *instance, "/explain/key", url.Values{"key": {args[0]}}, &e); err != nil {
 				return err
 			}
 			return (&session{stdout: stdout}).writeJSON(e)
--- a/cmd/carawaycart/main.go
+++ b/cmd/carawaycart/main.go
@@ -1,6 +1,6 @@
 // Command carawaycart runs and administers a layer-4 load balancer.
 //
-// Exit codes: 0 done, 1 failed, 2 wrong usage.
+// The exit code is 0 on success, 1 on failure and 2 if the command line is invalid.
 package main
 
 import (
@@ -18,15 +18,15 @@
 
 // Exit codes.
 const (
-	exitDone   = 0
-	exitFailed = 1
-	exitUsage  = 2
+	exitSuccess = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
-// usageError tells that the command line was wrong.
+// usageError is the error of an invalid command line.
 type usageError struct{ problem string }
 
-// Error returns what was wrong.
+// Error returns the problem with the command line.
 func (e *usageError) Error() string { return e.problem }
 
 func usagef(format string, args ...any) error { return &usageError{fmt.Sprintf(format, args...)} }
@@ -38,12 +38,12 @@
 	os.Exit(code)
 }
 
-// run executes the command line args and returns the exit code.
+// run executes the command line in args and returns the exit code.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	root := newRoot(stdout, stderr)
 	if err := root.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
-			return exitDone
+			return exitSuccess
 		}
 		_, _ = fmt.Fprintln(stderr, "carawaycart:", err)
 		return exitUsage
@@ -52,7 +52,7 @@
 	var usage *usageError
 	switch {
 	case err == nil:
-		return exitDone
+		return exitSuccess
 	case errors.Is(err, flag.ErrHelp):
 		return exitUsage
 	case errors.As(err, &usage):
@@ -60,12 +60,12 @@
 		return exitUsage
 	}
 	_, _ = fmt.Fprintln(stderr, "carawaycart:", err)
-	return exitFailed
+	return exitFailure
 }
 
 func newRoot(stdout, stderr io.Writer) *ffcli.Command {
 	return newCommand(stderr, "carawaycart", "carawaycart SUBCOMMAND [flags] [arguments]",
-		"A layer-4 load balancer. Exit codes: 0 done, 1 failed, 2 wrong usage.",
+		"A layer-4 load balancer. Exit codes: 0 success, 1 failure, 2 invalid command line.",
 		nil, nil,
 		newBalancerCommand(stderr),
 		newCheckCommand(stdout, stderr),
@@ -82,7 +82,8 @@
 	)
 }
 
-// newCommand returns a command that prints its usage if exec is nil.
+// newCommand returns a command that runs exec, and prints its usage if exec is nil
+// or returns flag.ErrHelp.
 func newCommand(stderr io.Writer, name, usage, help string, flags *flag.FlagSet,
 	exec func(context.Context, []string) error, subcommands ...*ffcli.Command,
 ) *ffcli.Command {
@@ -101,9 +102,9 @@
 	c := &ffcli.Command{
 		Name: name, ShortUsage: usage, ShortHelp: help, LongHelp: help, FlagSet: flags, Exec: exec, Subcommands: subcommands,
 	}
-	inner := c.Exec
+	runExec := c.Exec
 	c.Exec = func(ctx context.Context, args []string) error {
-		err := inner(ctx, args)
+		err := runExec(ctx, args)
 		if errors.Is(err, flag.ErrHelp) {
 			_, _ = fmt.Fprintln(stderr, ffcli.DefaultUsageFunc(c))
 		}
--- a/cmd/carawaycart/objects.go
+++ b/cmd/carawaycart/objects.go
@@ -46,9 +46,9 @@
 		newShowCommand(stdout, stderr, carawaycart.KindService),
 		newSetCommand(stdout, stderr, carawaycart.KindService, "id", func() any { return &carawaycart.Service{} }),
 		newDeleteCommand(stdout, stderr, carawaycart.KindService),
-		newStoreCommand(stdout, stderr, "assign", "carawaycart service assign SERVICE PROFILE", "Let a service run under a profile.", 2,
+		newStoreCommand(stdout, stderr, "assign", "carawaycart service assign SERVICE PROFILE", "Assign a profile to a service.", 2,
 			func(ctx context.Context, s *session, args []string) error {
-				return s.accepted(s.admin.Assign(ctx, carawaycart.ServiceID(args[0]), carawaycart.ProfileName(args[1])))
+				return s.printChange(s.admin.AssignProfile(ctx, carawaycart.ServiceID(args[0]), carawaycart.ProfileName(args[1])))
 			}),
 	)
 }
@@ -69,19 +69,19 @@
 		newShowCommand(stdout, stderr, carawaycart.KindEndpoint),
 		newSetCommand(stdout, stderr, carawaycart.KindEndpoint, "id", func() any { return &carawaycart.Endpoint{} }),
 		newDeleteCommand(stdout, stderr, carawaycart.KindEndpoint),
-		newStoreCommand(stdout, stderr, "leave", "carawaycart endpoint leave ENDPOINT", "Give an endpoint no new work.", 1,
+		newStoreCommand(stdout, stderr, "leave", "carawaycart endpoint leave ENDPOINT", "Mark an endpoint as leaving, so that it receives no new flows or requests.", 1,
 			func(ctx context.Context, s *session, args []string) error {
-				return s.accepted(s.admin.Leave(ctx, carawaycart.EndpointID(args[0])))
+				return s.printChange(s.admin.Leave(ctx, carawaycart.EndpointID(args[0])))
 			}),
-		newStoreCommand(stdout, stderr, "stay", "carawaycart endpoint stay ENDPOINT", "Take the mark of an endpoint back.", 1,
+		newStoreCommand(stdout, stderr, "stay", "carawaycart endpoint stay ENDPOINT", "Remove the mark of an endpoint.", 1,
 			func(ctx context.Context, s *session, args []string) error {
-				return s.accepted(s.admin.Stay(ctx, carawaycart.EndpointID(args[0])))
+				return s.printChange(s.admin.ClearMark(ctx, carawaycart.EndpointID(args[0])))
 			}),
 	)
 }
 
 func newZoneCommand(stdout, stderr io.Writer) *ffcli.Command {
-	return newCommand(stderr, "zone", "carawaycart zone SUBCOMMAND", "List zones, take them out and bring them back.", nil, nil,
+	return newCommand(stderr, "zone", "carawaycart zone SUBCOMMAND", "List zones, take them out of service and bring them back.", nil, nil,
 		newStoreCommand(stdout, stderr, "list", "carawaycart zone list", "List all availability zones.", 0,
 			func(ctx context.Context, s *session, _ []string) error {
 				c, err := s.log.Latest(ctx)
@@ -90,31 +90,31 @@
 				}
 				return list(s, c.Zones, "ZONE\tOUT", func(z carawaycart.Zone) []any { return []any{z.ID, z.Out} })
 			}),
-		newStoreCommand(stdout, stderr, "add", "carawaycart zone add ZONE", "Make an availability zone known.", 1,
+		newStoreCommand(stdout, stderr, "add", "carawaycart zone add ZONE", "Add an availability zone.", 1,
 			func(ctx context.Context, s *session, args []string) error {
 				z := carawaycart.Zone{ID: carawaycart.ZoneID(args[0])}
-				return s.accepted(s.admin.Put(ctx, carawaycart.KindZone, args[0], z))
+				return s.printChange(s.admin.Put(ctx, carawaycart.KindZone, args[0], z))
 			}),
-		newStoreCommand(stdout, stderr, "out", "carawaycart zone out ZONE", "Take an availability zone out.", 1,
+		newStoreCommand(stdout, stderr, "out", "carawaycart zone out ZONE", "Take an availability zone out of service.", 1,
 			func(ctx context.Context, s *session, args []string) error {
-				return s.accepted(s.admin.SetZone(ctx, carawaycart.ZoneID(args[0]), true))
+				return s.printChange(s.admin.SetZone(ctx, carawaycart.ZoneID(args[0]), true))
 			}),
-		newStoreCommand(stdout, stderr, "in", "carawaycart zone in ZONE", "Bring an availability zone back.", 1,
+		newStoreCommand(stdout, stderr, "in", "carawaycart zone in ZONE", "Bring an availability zone back into service.", 1,
 			func(ctx context.Context, s *session, args []string) error {
-				return s.accepted(s.admin.SetZone(ctx, carawaycart.ZoneID(args[0]), false))
+				return s.printChange(s.admin.SetZone(ctx, carawaycart.ZoneID(args[0]), false))
 			}),
 	)
 }
 
 func newShowCommand(stdout, stderr io.Writer, kind carawaycart.ObjectKind) *ffcli.Command {
-	return newStoreCommand(stdout, stderr, "show", "carawaycart "+string(kind)+" show NAME", "Show one as JSON.", 1,
+	return newStoreCommand(stdout, stderr, "show", "carawaycart "+string(kind)+" show NAME", "Show an object as JSON.", 1,
 		func(ctx context.Context, s *session, args []string) error { return show(ctx, s, kind, args[0]) })
 }
 
 func newDeleteCommand(stdout, stderr io.Writer, kind carawaycart.ObjectKind) *ffcli.Command {
-	return newStoreCommand(stdout, stderr, "delete", "carawaycart "+string(kind)+" delete NAME", "Delete one.", 1,
+	return newStoreCommand(stdout, stderr, "delete", "carawaycart "+string(kind)+" delete NAME", "Delete an object.", 1,
 		func(ctx context.Context, s *session, args []string) error {
-			return s.accepted(s.admin.Delete(ctx, kind, args[0]))
+			return s.printChange(s.admin.Delete(ctx, kind, args[0]))
 		})
 }
 
@@ -123,7 +123,7 @@
 	var f storeFlags
 	f.register(flags)
 	return newCommand(stderr, "set", "carawaycart "+string(kind)+" set NAME FIELD=VALUE...",
-		"Create one or change fields of it.", flags, func(ctx context.Context, args []string) error {
+		"Create an object or change some of its fields.", flags, func(ctx context.Context, args []string) error {
 			if len(args) < 2 {
 				return usagef("set: want NAME FIELD=VALUE...")
 			}
@@ -131,7 +131,7 @@
 			if err != nil {
 				return err
 			}
-			ctx, cancel := context.WithTimeout(ctx, callLimit)
+			ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 			defer cancel()
 			return setFields(ctx, s, kind, args[0], idField, args[1:], object())
 		})
--- a/cmd/carawaycart/operator.go
+++ b/cmd/carawaycart/operator.go
@@ -22,13 +22,13 @@
 	"carawaycart/internal/admin"
 	"carawaycart/internal/settings"
 	"carawaycart/io/platform"
-	users "carawaycart/platform"
+	tokenplatform "carawaycart/platform"
 )
 
-// callLimit bounds an operator's command.
-const callLimit = 15 * time.Second
+// commandTimeout is the timeout of an operator's command.
+const commandTimeout = 15 * time.Second
 
-// storeFlags are the flags of commands that use the platform's store.
+// storeFlags holds the flags of commands that use the platform's store.
 type storeFlags struct {
 	url      string
 	fabric   string
@@ -40,10 +40,10 @@
 func (f *storeFlags) register(flags *flag.FlagSet) {
 	flags.StringVar(&f.url, "store", os.Getenv("CARAWAYCART_STORE"), "`URL` of the platform's store (default $CARAWAYCART_STORE)")
 	flags.StringVar(&f.fabric, "fabric", cmp.Or(os.Getenv("CARAWAYCART_FABRIC"), string(settings.FormatGeneve)),
-		"`format` of the packets, geneve or token: with token, the store is the users' platform's (default $CARAWAYCART_FABRIC)")
-	flags.StringVar(&f.operator, "operator", defaultOperator(), "operator's `name` for the audit trail")
+		"`format` of the packets, geneve or token: token selects the store of the users' platform (default $CARAWAYCART_FABRIC)")
+	flags.StringVar(&f.operator, "operator", defaultOperator(), "`name` of the operator in the audit trail")
 	flags.StringVar(&f.output, "output", "table", "`format` of the output, table or json")
-	flags.BoolVar(&f.dryRun, "dry-run", false, "check a change against the latest configuration and show it, without making it")
+	flags.BoolVar(&f.dryRun, "dry-run", false, "check a change against the latest configuration and show it without applying it")
 }
 
 func defaultOperator() string {
@@ -53,7 +53,7 @@
 	return ""
 }
 
-// session is an operator's connection to the change log.
+// session holds the change log and the output options of an operator's command.
 type session struct {
 	log    *platform.ChangeLog
 	admin  *admin.Admin
@@ -78,7 +78,7 @@
 	case settings.FormatGeneve:
 		store = platform.NewStore(base, nil)
 	case settings.FormatToken:
-		store = users.NewStore(base, nil)
+		store = tokenplatform.NewStore(base, nil)
 	default:
 		return nil, usagef("-fabric %q (want geneve or token)", f.fabric)
 	}
@@ -90,11 +90,12 @@
 	return &session{log: log, admin: changes, stdout: stdout, json: f.output == "json", dryRun: f.dryRun}, nil
 }
 
-// action is what a command does in a session.
-type action func(context.Context, *session, []string) error
+// storeAction is the implementation of a command, given its arguments.
+type storeAction func(context.Context, *session, []string) error
 
-// newStoreCommand returns a command that takes want arguments and runs do.
-func newStoreCommand(stdout, stderr io.Writer, name, usage, help string, want int, do action, register ...func(*flag.FlagSet)) *ffcli.Command {
+// newStoreCommand returns a command that opens a session and calls runAction. The
+// command requires exactly argCount arguments.
+func newStoreCommand(stdout, stderr io.Writer, name, usage, help string, argCount int, runAction storeAction, register ...func(*flag.FlagSet)) *ffcli.Command {
 	flags := newFlags(name)
 	var f storeFlags
 	f.register(flags)
@@ -102,21 +103,22 @@
 		r(flags)
 	}
 	return newCommand(stderr, name, usage, help, flags, func(ctx context.Context, args []string) error {
-		if len(args) != want {
+		if len(args) != argCount {
 			return usagef("%s: %d arguments (usage: %s)", name, len(args), usage)
 		}
 		s, err := f.session(stdout)
 		if err != nil {
 			return err
 		}
-		ctx, cancel := context.WithTimeout(ctx, callLimit)
+		ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 		defer cancel()
-		return do(ctx, s, args)
+		return runAction(ctx, s, args)
 	})
 }
 
-// accepted tells which change was accepted, or would be.
-func (s *session) accepted(c carawaycart.Change, err error) error {
+// printChange prints the accepted change, or in a dry run the change that would be
+// accepted. A non-nil err is returned annotated.
+func (s *session) printChange(c carawaycart.Change, err error) error {
 	if err != nil {
 		return errors.Annotate(err, "nothing was accepted")
 	}
@@ -138,7 +140,8 @@
 	return e.Encode(v)
 }
 
-// list prints the values of m as JSON, or as a table with the given columns.
+// list prints the values of m, sorted by key, as JSON or as a table with the given
+// header.
 func list[K ~string, V any](s *session, m map[K]V, header string, row func(V) []any) error {
 	names := make([]K, 0, len(m))
 	for k := range m {
@@ -166,7 +169,8 @@
 	return t.Flush()
 }
 
-// show prints the object of a kind and name.
+// show prints the object with the given kind and name. The error is NotFound if it
+// does not exist.
 func show(ctx context.Context, s *session, kind carawaycart.ObjectKind, name string) error {
 	c, err := s.log.Latest(ctx)
 	if err != nil {
@@ -182,43 +186,43 @@
 	return s.writeJSON(data)
 }
 
-// setFields reads "field=value" arguments into the JSON object of a kind and
-// name and writes it back.
-func setFields(ctx context.Context, s *session, kind carawaycart.ObjectKind, name, idField string, assignments []string, strict any) error {
+// setFields applies "field=value" assignments to the JSON object with the given
+// kind and name, decodes the result strictly into object and stores it.
+func setFields(ctx context.Context, s *session, kind carawaycart.ObjectKind, name, idField string, assignments []string, object any) error {
 	c, err := s.log.Latest(ctx)
 	if err != nil {
 		return err
 	}
-	present, err := c.Current(kind, name)
+	current, err := c.Current(kind, name)
 	if err != nil {
 		return err
 	}
-	object := make(map[string]json.RawMessage)
-	if present != nil {
-		if err := json.Unmarshal(present, &object); err != nil {
-			return errors.Annotatef(err, "present %s %s", kind, name)
+	fields := make(map[string]json.RawMessage)
+	if current != nil {
+		if err := json.Unmarshal(current, &fields); err != nil {
+			return errors.Annotatef(err, "decode the current %s %s", kind, name)
 		}
 	}
-	object[idField], _ = json.Marshal(name)
+	fields[idField], _ = json.Marshal(name)
 	for _, a := range assignments {
 		field, value, ok := strings.Cut(a, "=")
 		if !ok {
 			return usagef("%q (want FIELD=VALUE)", a)
 		}
-		object[field] = fieldValue(value)
+		fields[field] = fieldValue(value)
 	}
-	data, err := json.Marshal(object)
+	data, err := json.Marshal(fields)
 	if err != nil {
-		return errors.Annotatef(err, "%s %s", kind, name)
+		return errors.Annotatef(err, "encode %s %s", kind, name)
 	}
-	if err := config.DecodeStrict(data, strict); err != nil {
+	if err := config.DecodeStrict(data, object); err != nil {
 		return errors.Annotatef(err, "%s %s", kind, name)
 	}
-	return s.accepted(s.admin.Put(ctx, kind, name, strict))
+	return s.printChange(s.admin.Put(ctx, kind, name, object))
 }
 
-// fieldValue encodes a value of the command line: a number as such, anything
-// else as a string.
+// fieldValue encodes a value of the command line as a JSON number if it is one, and
+// as a JSON string otherwise.
 func fieldValue(v string) json.RawMessage {
 	var number json.Number
 	if err := json.Unmarshal([]byte(v), &number); err == nil && !strings.HasPrefix(v, `"`) {
--- a/cmd/carawaycart/operator_test.go
+++ b/cmd/carawaycart/operator_test.go
@@ -20,13 +20,13 @@
 		code    int
 		want    string
 	}{
-		{"zone add -dry-run a", exitDone, "would be accepted as revision 1: zone a\nbefore: none\nafter:  {"},
-		{"zone list", exitDone, "ZONE  OUT\n"},
-		{"zone out -dry-run a", exitFailed, "zone a not found"},
-		{"zone add a", exitDone, "accepted as revision 1: zone a"},
-		{"zone out -dry-run a", exitDone, "would be accepted as revision 2: zone a\nbefore: {"},
-		{"zone list", exitDone, "a     false"},
-		{"service assign -dry-run desk timid", exitFailed, "service desk not found"},
+		{"zone add -dry-run a", exitSuccess, "would be accepted as revision 1: zone a\nbefore: none\nafter:  {"},
+		{"zone list", exitSuccess, "ZONE  OUT\n"},
+		{"zone out -dry-run a", exitFailure, "zone a not found"},
+		{"zone add a", exitSuccess, "accepted as revision 1: zone a"},
+		{"zone out -dry-run a", exitSuccess, "would be accepted as revision 2: zone a\nbefore: {"},
+		{"zone list", exitSuccess, "a     false"},
+		{"service assign -dry-run desk timid", exitFailure, "service desk not found"},
 	} {
 		words := strings.Fields(test.command)
 		args := slices.Concat(words[:2], []string{"-fabric", "token", "-store", s.Store.URL(), "-operator", "anna"}, words[2:])
--- a/cmd/carawaycart/standin.go
+++ b/cmd/carawaycart/standin.go
@@ -16,13 +16,13 @@
 
 func newStandinCommand(stdout, stderr io.Writer) *ffcli.Command {
 	flags := newFlags("standin")
-	site := flags.String("site", "froepapir", "customer whose sizes to use, froepapir or brunnhalder")
+	site := flags.String("site", "froepapir", "customer site whose sizes are used, froepapir or brunnhalder")
 	dir := flags.String("dir", ".", "`directory` to write the settings files of the instances to")
-	instances := flags.Int("instances", 3, "how many settings files to write")
-	log := flags.String("log", "", "`file` to write logs to, among them each broken flow")
-	port := flags.Int("port", 21000, "first of the instances' ports")
+	instances := flags.Int("instances", 3, "number of settings files to write")
+	log := flags.String("log", "", "`file` to write logs to, including each broken flow")
+	port := flags.Int("port", 21000, "first port of the instances")
 	return newCommand(stderr, "standin", "carawaycart standin [-site NAME] [-dir DIR] [-instances N]",
-		"Run the stand-ins alone, for instances that are started by hand.", flags,
+		"Run only the simulated environment, for instances that are started separately.", flags,
 		func(ctx context.Context, args []string) error {
 			if len(args) > 0 {
 				return usagef("standin: want no arguments")
@@ -31,7 +31,7 @@
 			if err != nil {
 				return usagef("standin: %v", err)
 			}
-			closeLogs, err := quietLogs(*log)
+			closeLogs, err := redirectLogs(*log)
 			if err != nil {
 				return err
 			}
@@ -49,11 +49,11 @@
 	for _, i := range environment.Instances() {
 		path := filepath.Join(dir, string(i.ID)+".ini")
 		if err := os.WriteFile(path, []byte(environment.Settings(i)), 0o644); err != nil {
-			return errors.Annotate(err, "write settings")
+			return errors.Annotate(err, "write settings file")
 		}
 		_, _ = fmt.Fprintf(stdout, "carawaycart balancer -config %s\n", path)
 	}
-	_, _ = fmt.Fprintf(stdout, "store: %s\nstop with an interrupt, which prints what arrived\n", environment.StoreURL())
+	_, _ = fmt.Fprintf(stdout, "store: %s\ninterrupt to stop and print a report\n", environment.StoreURL())
 	environment.Run(ctx)
 	return environment.Report(stdout)
 }
--- a/cmd/carawaycart/trace.go
+++ b/cmd/carawaycart/trace.go
@@ -14,15 +14,15 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line in bytes.
+const maxLineBytes = 1 << 20
 
 func newTraceCommand(stdout, stderr io.Writer) *ffcli.Command {
 	flags := newFlags("trace")
 	flow := flags.String("flow", "", "caller's `IP:PORT`")
 	endpoint := flags.String("endpoint", "", "`id` of an endpoint")
 	return newCommand(stderr, "trace", "carawaycart trace [-flow IP:PORT] [-endpoint ID] FILE...",
-		"Print what several instances' logs say of a flow or an endpoint, in order of time.", flags,
+		"Print the log lines about a flow or an endpoint from several instances in order of time.", flags,
 		func(_ context.Context, args []string) error {
 			if len(args) == 0 || *flow == "" && *endpoint == "" {
 				return usagef("trace: want -flow or -endpoint, and log files")
@@ -38,15 +38,16 @@
 		})
 }
 
-// trace prints the lines of files that have one of terms among their fields.
+// trace prints the lines of files that contain one of terms as a field, sorted by
+// time.
 func trace(files, terms []string, stdout io.Writer) error {
 	var lines []string
 	for _, path := range files {
-		found, err := matchingLines(path, terms)
+		matching, err := matchingLines(path, terms)
 		if err != nil {
 			return err
 		}
-		lines = append(lines, found...)
+		lines = append(lines, matching...)
 	}
 	slices.SortStableFunc(lines, func(a, b string) int { return cmp.Compare(logTime(a), logTime(b)) })
 	for _, line := range lines {
@@ -60,12 +61,12 @@
 func matchingLines(path string, terms []string) ([]string, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, errors.Annotate(err, "open log")
+		return nil, errors.Annotate(err, "open log file")
 	}
 	defer func() { _ = file.Close() }()
 	var lines []string
 	scanner := bufio.NewScanner(file)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		line := scanner.Text()
 		fields := strings.Fields(line)
@@ -76,7 +77,8 @@
 	return lines, errors.Annotatef(scanner.Err(), "read %s", path)
 }
 
-// logTime returns the time field of a line, which sorts as text.
+// logTime returns the time field of a line, or "" if there is none. Times compare
+// correctly as text.
 func logTime(line string) string {
 	for _, f := range strings.Fields(line) {
 		if t, ok := strings.CutPrefix(f, "time="); ok {
--- a/cmd/carawaycart/trace_test.go
+++ b/cmd/carawaycart/trace_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestTraceOrdersLinesOfSeveralLogs(t *testing.T) {
+func TestTraceSortsLinesOfSeveralLogsByTime(t *testing.T) {
 	dir := t.TempDir()
 	one, two := filepath.Join(dir, "one.log"), filepath.Join(dir, "two.log")
 	write := func(path, text string) {
@@ -19,7 +19,7 @@
 		"time=2026-01-01T00:00:01.000Z event=placed instance=a flow=100.64.0.1:100 endpoint=i-1\n")
 	write(two, "  1.5 front-2 time=2026-01-01T00:00:01.500Z event=refused instance=b flow=100.64.0.1:10 cause=cold\n")
 	var out bytes.Buffer
-	if code := run(t.Context(), []string{"trace", "-flow", "100.64.0.1:10", one, two}, &out, &out); code != exitDone {
+	if code := run(t.Context(), []string{"trace", "-flow", "100.64.0.1:10", one, two}, &out, &out); code != exitSuccess {
 		t.Fatalf("got exit code %d: %s", code, &out)
 	}
 	want := "  1.5 front-2 time=2026-01-01T00:00:01.500Z event=refused instance=b flow=100.64.0.1:10 cause=cold\n" +
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestTraceWantsFiles(t *testing.T) {
+func TestTraceRequiresFiles(t *testing.T) {
 	var out bytes.Buffer
 	if code := run(t.Context(), []string{"trace", "-flow", "100.64.0.1:10"}, &out, &out); code != exitUsage {
 		t.Errorf("got exit code %d, want %d", code, exitUsage)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -98,8 +98,8 @@
 	})
 }
 
-// Stay takes the mark of endpoint id back.
-func (a *Admin) Stay(ctx context.Context, id carawaycart.EndpointID) (carawaycart.Change, error) {
+// ClearMark takes the mark of endpoint id back.
+func (a *Admin) ClearMark(ctx context.Context, id carawaycart.EndpointID) (carawaycart.Change, error) {
 	return modify(ctx, a, carawaycart.KindEndpoint, string(id), func(e *carawaycart.Endpoint) error {
 		e.Mark = carawaycart.MarkNone
 		e.DrainDeadline = time.Time{}
@@ -115,8 +115,8 @@
 	})
 }
 
-// Assign lets service id run under a profile.
-func (a *Admin) Assign(ctx context.Context, id carawaycart.ServiceID, p carawaycart.ProfileName) (carawaycart.Change, error) {
+// AssignProfile lets service id run under a profile.
+func (a *Admin) AssignProfile(ctx context.Context, id carawaycart.ServiceID, p carawaycart.ProfileName) (carawaycart.Change, error) {
 	return modify(ctx, a, carawaycart.KindService, string(id), func(s *carawaycart.Service) error {
 		s.Profile = p
 		return nil
