--- a/cmd/carawaycart/balancer.go
+++ b/cmd/carawaycart/balancer.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	watch := settings.NewWatch(path, hangup, e.Reload)
+	watch := settings.NewWatcher(path, hangup, e.Reload)
 	releaser := newMemoryReleaser(memoryReleasePeriod)
 	<-ctx.Done()
 	releaser.close()
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Reference returns the description of all settings as a page in Markdown.
+// Reference returns the reference page of all settings in Markdown.
 func Reference() string {
 	var b strings.Builder
 	b.WriteString("# Settings\n\n")
@@ -17,8 +17,8 @@
 		if f.Required {
 			required = "yes"
 		}
-		if f.Only != "" {
-			required += ", only `" + string(f.Only) + "`"
+		if f.OnlyFormat != "" {
+			required += ", only `" + string(f.OnlyFormat) + "`"
 		}
 		_, _ = fmt.Fprintf(&b, "| `%s` | `%s` | %s | %s | %s |\n", f.Section, f.Key, required, f.Default, f.Meaning)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,50 +21,50 @@
 	maxThreads = 64
 
 	maxGraceSeconds = 600
-	maxFraction     = 1000
+	maxColdLimit    = 1000
 )
 
-// Settings are the settings of one instance.
+// Settings holds the settings of one instance.
 type Settings struct {
 	ID            carawaycart.InstanceID
 	Zone          carawaycart.ZoneID
-	Fabric        netip.AddrPort // UDP, Geneve from the fabric
-	Request       netip.AddrPort // TCP, HTTP from callers
-	Peer          netip.AddrPort // TCP for calls and UDP for packets of peers
-	Operator      netip.AddrPort // TCP, HTTP for operators and metrics
+	Fabric        netip.AddrPort // UDP address for packets from the fabric
+	Request       netip.AddrPort // TCP address for HTTP requests of callers
+	Peer          netip.AddrPort // TCP address for calls and UDP address for packets of peers
+	Operator      netip.AddrPort // TCP address for operators and metrics over HTTP
 	Store         string         // URL of the platform's store
 	List          string         // URL of the platform's instance list
 	Seeds         []netip.AddrPort
 	FabricThreads int
 
-	// The fields below serve FormatToken only.
+	// The fields below except Format are set only for FormatToken.
 
 	Format       Format
-	Ready        netip.AddrPort // TCP, HTTP for the fabric's question whether to send packets
-	GraceSeconds carawaycart.Seconds
-	FirstStart   bool    // the whole fleet starts for the first time
-	ColdOverrun  float64 // multiple of what cold endpoints say they bear
-	ColdSlack    float64 // requests a second on top
+	Ready        netip.AddrPort      // TCP address of the HTTP readiness check of the fabric
+	GraceSeconds carawaycart.Seconds // time from SIGTERM until the instance is killed
+	FirstStart   bool                // the whole fleet starts for the first time, so seeds get more time to answer
+	ColdOverrun  float64             // maximum load of a cold endpoint as a multiple of the rate that it says it can serve
+	ColdSlack    float64             // requests per second allowed in addition
 }
 
-// Format names how the fabric wraps packets.
+// Format is the encapsulation of packets by the fabric.
 type Format string
 
 // The formats.
 const (
-	FormatGeneve Format = "geneve" // Geneve; flows are known by records
-	FormatToken  Format = "token"  // the platform's own; flows are known by tokens
+	FormatGeneve Format = "geneve" // Geneve; the owner of a flow is found by its record
+	FormatToken  Format = "token"  // the platform's own; the owner of a flow is found by its token
 )
 
-// Fault is one thing wrong with a settings file.
+// Fault describes an error in a settings file.
 type Fault struct {
 	File    string
 	Section string
-	Key     string // empty if the section as a whole is at fault
+	Key     string // empty if the fault concerns the whole section
 	Problem string
 }
 
-// String returns the fault in one line.
+// String returns f as a single line.
 func (f Fault) String() string {
 	if f.Key == "" {
 		return fmt.Sprintf("%s: [%s]: %s", f.File, f.Section, f.Problem)
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("%s: [%s] %s: %s", f.File, f.Section, f.Key, f.Problem)
 }
 
-// FaultsError holds all faults of a file. It is NotValid.
+// FaultsError is the list of all faults of a file. It matches errors.NotValid.
 type FaultsError []Fault
 
 // Error returns one line per fault.
@@ -89,16 +89,16 @@
 
 // Field describes one setting.
 type Field struct {
-	Section  string
-	Key      string
-	Meaning  string
-	Default  string
-	Required bool
-	Only     Format // the format whose files need and may have the setting; empty means all
-	set      func(*Settings, string) error
+	Section    string
+	Key        string
+	Meaning    string
+	Default    string
+	Required   bool
+	OnlyFormat Format // format to which the setting is restricted; empty means all
+	set        func(*Settings, string) error
 }
 
-// Fields returns the description of every setting, in order of the file.
+// Fields returns the descriptions of all settings in the order of a settings file.
 func Fields() []Field { return slices.Clone(fields) }
 
 var fields = []Field{
@@ -122,23 +122,23 @@
 	},
 	{
 		Section: "listen", Key: "fabric", Meaning: "UDP address for packets from the fabric.", Required: true,
-		set: address(func(s *Settings) *netip.AddrPort { return &s.Fabric }),
+		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.Fabric }),
 	},
 	{
-		Section: "listen", Key: "request", Meaning: "TCP address for HTTP requests of callers.", Required: true, Only: FormatGeneve,
-		set: address(func(s *Settings) *netip.AddrPort { return &s.Request }),
+		Section: "listen", Key: "request", Meaning: "TCP address for HTTP requests of callers.", Required: true, OnlyFormat: FormatGeneve,
+		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.Request }),
 	},
 	{
 		Section: "listen", Key: "peer", Meaning: "TCP and UDP address for other instances; must not be a wildcard address.", Required: true,
-		set: address(func(s *Settings) *netip.AddrPort { return &s.Peer }),
+		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.Peer }),
 	},
 	{
 		Section: "listen", Key: "operator", Meaning: "TCP address for operators and metrics over HTTP.", Required: true,
-		set: address(func(s *Settings) *netip.AddrPort { return &s.Operator }),
+		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.Operator }),
 	},
 	{
-		Section: "listen", Key: "ready", Meaning: "TCP address at which the fabric asks over HTTP whether to send packets.", Required: true, Only: FormatToken,
-		set: address(func(s *Settings) *netip.AddrPort { return &s.Ready }),
+		Section: "listen", Key: "ready", Meaning: "TCP address at which the fabric asks over HTTP whether to send packets.", Required: true, OnlyFormat: FormatToken,
+		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.Ready }),
 	},
 	{
 		Section: "platform", Key: "store", Meaning: "URL of the platform's key-value service.", Required: true,
@@ -148,7 +148,7 @@
 		},
 	},
 	{
-		Section: "platform", Key: "list", Meaning: "URL of the platform's instance list.", Required: true, Only: FormatGeneve,
+		Section: "platform", Key: "list", Meaning: "URL of the platform's instance list.", Required: true, OnlyFormat: FormatGeneve,
 		set: func(s *Settings, v string) error {
 			s.List = v
 			return checkURL(v)
@@ -159,7 +159,7 @@
 		set: setSeeds,
 	},
 	{
-		Section: "peers", Key: "firstStart", Meaning: "`true` if the whole fleet starts for the first time; the seeds then get more time to answer.", Default: "false", Only: FormatToken,
+		Section: "peers", Key: "firstStart", Meaning: "`true` if the whole fleet starts for the first time; the seeds then get more time to answer.", Default: "false", OnlyFormat: FormatToken,
 		set: func(s *Settings, v string) error {
 			b, err := strconv.ParseBool(v)
 			if err != nil {
@@ -174,7 +174,7 @@
 		set: setThreads,
 	},
 	{
-		Section: "limits", Key: "graceSeconds", Meaning: "Seconds from SIGTERM until the instance is killed.", Default: "6", Only: FormatToken,
+		Section: "limits", Key: "graceSeconds", Meaning: "Seconds from SIGTERM until the instance is killed.", Default: "6", OnlyFormat: FormatToken,
 		set: func(s *Settings, v string) error {
 			n, err := strconv.Atoi(v)
 			if err != nil || n < 1 || n > maxGraceSeconds {
@@ -185,31 +185,31 @@
 		},
 	},
 	{
-		Section: "limits", Key: "coldOverrun", Meaning: "How many times what a cold endpoint says it bears it may be given.", Default: "1.5", Only: FormatToken,
-		set: fraction(func(s *Settings) *float64 { return &s.ColdOverrun }),
+		Section: "limits", Key: "coldOverrun", Meaning: "How many times what a cold endpoint says it bears it may be given.", Default: "1.5", OnlyFormat: FormatToken,
+		set: decimalSetter(func(s *Settings) *float64 { return &s.ColdOverrun }),
 	},
 	{
-		Section: "limits", Key: "coldSlack", Meaning: "Requests a second that a cold endpoint may be given on top.", Default: "5", Only: FormatToken,
-		set: fraction(func(s *Settings) *float64 { return &s.ColdSlack }),
+		Section: "limits", Key: "coldSlack", Meaning: "Requests a second that a cold endpoint may be given on top.", Default: "5", OnlyFormat: FormatToken,
+		set: decimalSetter(func(s *Settings) *float64 { return &s.ColdSlack }),
 	},
 }
 
-func address(field func(*Settings) *netip.AddrPort) func(*Settings, string) error {
+func addressSetter(field func(*Settings) *netip.AddrPort) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		a, err := netip.ParseAddrPort(v)
 		if err != nil {
-			return errors.NotValidf("%q (want an IP number and a port, as 10.0.0.1:6081)", v)
+			return errors.NotValidf("%q (want an IP address and a port, such as 10.0.0.1:6081)", v)
 		}
 		*field(s) = a
 		return nil
 	}
 }
 
-func fraction(field func(*Settings) *float64) func(*Settings, string) error {
+func decimalSetter(field func(*Settings) *float64) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		n, err := strconv.ParseFloat(v, 64)
-		if err != nil || n < 0 || n > maxFraction {
-			return errors.NotValidf("%q (want 0 to %d)", v, maxFraction)
+		if err != nil || n < 0 || n > maxColdLimit {
+			return errors.NotValidf("%q (want 0 to %d)", v, maxColdLimit)
 		}
 		*field(s) = n
 		return nil
@@ -242,7 +242,7 @@
 	for _, part := range strings.Split(v, ",") {
 		a, err := netip.ParseAddrPort(strings.TrimSpace(part))
 		if err != nil {
-			return errors.NotValidf("%q (want IP numbers with ports, separated by commas)", v)
+			return errors.NotValidf("%q (want IP addresses with ports, separated by commas)", v)
 		}
 		s.Seeds = append(s.Seeds, a)
 	}
@@ -258,17 +258,18 @@
 	return nil
 }
 
-// Read reads the file at path; the error is a FaultsError if the file can be
-// read but has faults.
+// Read reads the settings file at path. The error is a FaultsError if the file can
+// be read but has faults.
 func Read(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, errors.Annotate(err, "read settings")
+		return Settings{}, errors.Annotate(err, "read settings file")
 	}
 	return Parse(path, data)
 }
 
-// Parse reads settings from data; name stands for the file in faults.
+// Parse parses the contents of a settings file. Faults refer to the file by name.
+// The error is nil or a FaultsError.
 func Parse(name string, data []byte) (Settings, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, IgnoreInlineComment: true}, data)
 	if err != nil {
@@ -281,8 +282,8 @@
 			faults = append(faults, Fault{File: name, Section: f.Section, Key: f.Key, Problem: problem})
 		}
 	}
-	faults = append(faults, unknown(name, file)...)
-	faults = append(faults, crossCheck(name, &s)...)
+	faults = append(faults, unknownNames(name, file)...)
+	faults = append(faults, checkPeerAddress(name, &s)...)
 	if len(faults) > 0 {
 		return s, faults
 	}
@@ -291,9 +292,9 @@
 
 func readField(s *Settings, file *ini.File, f Field) string {
 	section := file.Section(f.Section)
-	foreign := f.Only != "" && s.Format != "" && f.Only != s.Format
+	otherFormat := f.OnlyFormat != "" && s.Format != "" && f.OnlyFormat != s.Format
 	if !section.HasKey(f.Key) {
-		if foreign {
+		if otherFormat {
 			return ""
 		}
 		if f.Required {
@@ -302,30 +303,30 @@
 		if f.Default == "" {
 			return ""
 		}
-		return problem(f.set(s, f.Default))
+		return problemText(f.set(s, f.Default))
 	}
-	if foreign {
-		return fmt.Sprintf("serves format %s only", f.Only)
+	if otherFormat {
+		return fmt.Sprintf("valid only with format %s", f.OnlyFormat)
 	}
 	values := section.Key(f.Key).ValueWithShadows()
 	if len(values) > 1 {
 		return fmt.Sprintf("given %d times", len(values))
 	}
-	return problem(f.set(s, section.Key(f.Key).String()))
+	return problemText(f.set(s, section.Key(f.Key).String()))
 }
 
-func problem(err error) string {
+func problemText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-func unknown(name string, file *ini.File) FaultsError {
+func unknownNames(name string, file *ini.File) FaultsError {
 	var faults FaultsError
 	for _, section := range file.Sections() {
-		known := slices.ContainsFunc(fields, func(f Field) bool { return f.Section == section.Name() })
-		if !known && section.Name() != ini.DefaultSection {
+		isKnown := slices.ContainsFunc(fields, func(f Field) bool { return f.Section == section.Name() })
+		if !isKnown && section.Name() != ini.DefaultSection {
 			faults = append(faults, Fault{File: name, Section: section.Name(), Problem: "unknown section"})
 			continue
 		}
@@ -339,11 +340,11 @@
 	return faults
 }
 
-func crossCheck(name string, s *Settings) FaultsError {
+func checkPeerAddress(name string, s *Settings) FaultsError {
 	if s.Peer.IsValid() && s.Peer.Addr().IsUnspecified() {
 		return FaultsError{{
 			File: name, Section: "listen", Key: "peer",
-			Problem: fmt.Sprintf("%s is a wildcard address, which peers cannot call", s.Peer),
+			Problem: fmt.Sprintf("%s is a wildcard address, to which peers cannot connect", s.Peer),
 		}}
 	}
 	return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,13 +13,15 @@
 	"carawaycart/internal/settings"
 )
 
-// Each file in testdata is read; what is wrong with it stands in its golden file.
-func TestFaults(t *testing.T) {
+// TestParseReportsFaults guards against faults of a settings file that are missed or
+// reported under the wrong section or key. The faults of each file in testdata are
+// compared with its golden file.
+func TestParseReportsFaults(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.ini")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("got %d files, %v", len(files), err)
 	}
-	g := goldie.New(t)
+	golden := goldie.New(t)
 	for _, f := range files {
 		data, err := os.ReadFile(f)
 		if err != nil {
@@ -30,11 +32,11 @@
 		if _, err := settings.Parse(filepath.Base(f), data); err != nil {
 			var faults settings.FaultsError
 			if !errors.As(err, &faults) {
-				t.Errorf("%s: got an error of another type: %v", f, err)
+				t.Errorf("%s: got error %v, want a FaultsError", f, err)
 			}
 			text = err.Error() + "\n"
 		}
-		g.Assert(t, name, []byte(text))
+		golden.Assert(t, name, []byte(text))
 	}
 }
 
@@ -45,19 +47,19 @@
 	})
 }
 
-func TestParseSurvivesDamage(t *testing.T) {
-	good, err := os.ReadFile("testdata/good.ini")
+func TestParseHandlesCorruptedFiles(t *testing.T) {
+	valid, err := os.ReadFile("testdata/good.ini")
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := 0
-	mutate.Each(1, 3000, [][]byte{good}, func(data []byte) {
+	rejected := 0
+	mutate.Each(1, 3000, [][]byte{valid}, func(data []byte) {
 		if _, err := settings.Parse("damaged.ini", data); err != nil {
-			refused++
+			rejected++
 		}
 	})
-	if refused == 0 {
-		t.Error("no damaged file was refused, so the test shows too little")
+	if rejected == 0 {
+		t.Error("got no rejected file, so the mutations do not exercise the validation")
 	}
 }
 
@@ -72,6 +74,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != settings.Reference() {
-		t.Errorf("%s differs from the code's table; run the test with UPDATE_REFERENCE=1", page)
+		t.Errorf("%s differs from settings.Reference; run the test with UPDATE_REFERENCE=1 to update it", page)
 	}
 }
--- a/internal/settings/template_test.go
+++ b/internal/settings/template_test.go
@@ -8,23 +8,24 @@
 	"carawaycart/internal/settings"
 )
 
-// platformFields are examples of the fields that the platform fills in.
-var platformFields = map[string]string{
+// exampleFields holds example values of the template fields that the platform
+// fills in.
+var exampleFields = map[string]string{
 	"node_name": "front-bergen-a-1", "zone": "bergen-a", "ip": "10.1.0.10", "inner_ports.0": "7720", "inner_ports.1": "7735",
 	"listen.packet_addr": "10.1.0.10:8172", "listen.ready": "10.1.0.10:8167", "platform.address": "10.200.1.7:8169",
 	"seeds": "10.1.0.10:8166,10.2.0.40:8166", "bootstrap": "true",
 	"bounds.grace_s": "6", "bounds.cold_overrun": "1.5", "bounds.cold_slack": "5",
 }
 
-var placeholder = regexp.MustCompile(`\{\{([a-z_.0-9]+)\}\}`)
+var placeholderPattern = regexp.MustCompile(`\{\{([a-z_.0-9]+)\}\}`)
 
-func TestTemplateOfThePlatform(t *testing.T) {
+func TestPlatformTemplateIsValid(t *testing.T) {
 	template, err := os.ReadFile("../../deploy/settings.ini")
 	if err != nil {
 		t.Fatal(err)
 	}
-	rendered := placeholder.ReplaceAllStringFunc(string(template), func(p string) string {
-		value, ok := platformFields[placeholder.FindStringSubmatch(p)[1]]
+	rendered := placeholderPattern.ReplaceAllStringFunc(string(template), func(p string) string {
+		value, ok := exampleFields[placeholderPattern.FindStringSubmatch(p)[1]]
 		if !ok {
 			t.Errorf("the platform has no field %s", p)
 		}
