--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -12,28 +12,28 @@
 	"carawaycart/io/platform"
 )
 
-// Admin makes changes in the name of one operator.
+// Admin changes the configuration on behalf of one operator.
 type Admin struct {
 	log      *platform.ChangeLog
 	operator carawaycart.OperatorName
 	clock    carawaycart.Clock
-	dry      bool
+	dryRun   bool
 }
 
-// NewAdmin returns an Admin that changes the configuration in log.
+// NewAdmin returns an Admin that appends changes of operator to log.
 func NewAdmin(log *platform.ChangeLog, operator carawaycart.OperatorName, clock carawaycart.Clock) *Admin {
 	return &Admin{log: log, operator: operator, clock: clock}
 }
 
-// DryRun returns an Admin that checks the changes it is asked for against the
-// latest configuration and makes none.
+// DryRun returns a copy of a that checks changes against the latest configuration
+// and appends none.
 func (a *Admin) DryRun() *Admin {
-	dry := *a
-	dry.dry = true
-	return &dry
+	dryRun := *a
+	dryRun.dryRun = true
+	return &dryRun
 }
 
-// Put creates or replaces the object of a kind and name.
+// Put creates or replaces the object with the given kind and name.
 func (a *Admin) Put(ctx context.Context, kind carawaycart.ObjectKind, name string, object any) (carawaycart.Change, error) {
 	data, err := json.Marshal(object)
 	if err != nil {
@@ -42,11 +42,11 @@
 	return a.edit(ctx, kind, name, func(json.RawMessage) (json.RawMessage, error) { return data, nil })
 }
 
-// Delete removes the object of a kind and name; the error is NotFound if there
-// is none.
+// Delete removes the object with the given kind and name. The error is NotFound if
+// the object does not exist.
 func (a *Admin) Delete(ctx context.Context, kind carawaycart.ObjectKind, name string) (carawaycart.Change, error) {
-	return a.edit(ctx, kind, name, func(present json.RawMessage) (json.RawMessage, error) {
-		if present == nil {
+	return a.edit(ctx, kind, name, func(current json.RawMessage) (json.RawMessage, error) {
+		if current == nil {
 			return nil, errors.NotFoundf("%s %s", kind, name)
 		}
 		return nil, nil
@@ -57,20 +57,21 @@
 	update func(json.RawMessage) (json.RawMessage, error),
 ) (carawaycart.Change, error) {
 	edit := platform.Edit{Operator: a.operator, Kind: kind, Name: name, Update: update}
-	if a.dry {
+	if a.dryRun {
 		return a.log.Check(ctx, edit)
 	}
 	return a.log.Append(ctx, edit)
 }
 
-// modify decodes the present object, lets change alter it, and writes it back.
+// modify applies change to the decoded current object and stores the result. The
+// error is NotFound if the object does not exist.
 func modify[T any](ctx context.Context, a *Admin, kind carawaycart.ObjectKind, name string, change func(*T) error) (carawaycart.Change, error) {
-	return a.edit(ctx, kind, name, func(present json.RawMessage) (json.RawMessage, error) {
-		if present == nil {
+	return a.edit(ctx, kind, name, func(current json.RawMessage) (json.RawMessage, error) {
+		if current == nil {
 			return nil, errors.NotFoundf("%s %s", kind, name)
 		}
 		var object T
-		if err := config.DecodeStrict(present, &object); err != nil {
+		if err := config.DecodeStrict(current, &object); err != nil {
 			return nil, err
 		}
 		if err := change(&object); err != nil {
@@ -80,8 +81,9 @@
 	})
 }
 
-// Leave marks endpoint id as leaving. Its flows may go on until their service's
-// profile says, or to their end if that comes first.
+// Leave marks endpoint id as leaving. Its flows may continue until they end or until
+// the drain time in the profile of its service has passed. The error is NotValid if
+// the endpoint already has a mark.
 func (a *Admin) Leave(ctx context.Context, id carawaycart.EndpointID) (carawaycart.Change, error) {
 	c, err := a.log.Latest(ctx)
 	if err != nil {
@@ -90,7 +92,7 @@
 	drain := c.Profiles[c.Services[c.Endpoints[id].Service].Profile].DrainSeconds.Duration()
 	return modify(ctx, a, carawaycart.KindEndpoint, string(id), func(e *carawaycart.Endpoint) error {
 		if e.Mark != carawaycart.MarkNone {
-			return errors.NotValidf("endpoint %s: is already %s; leave", id, e.Mark)
+			return errors.NotValidf("marking endpoint %s as leaving while it is %s", id, e.Mark)
 		}
 		e.Mark = carawaycart.MarkLeaving
 		e.DrainDeadline = a.clock.Now().Add(drain).UTC().Truncate(time.Second)
@@ -98,7 +100,7 @@
 	})
 }
 
-// ClearMark takes the mark of endpoint id back.
+// ClearMark removes the mark and the drain deadline of endpoint id.
 func (a *Admin) ClearMark(ctx context.Context, id carawaycart.EndpointID) (carawaycart.Change, error) {
 	return modify(ctx, a, carawaycart.KindEndpoint, string(id), func(e *carawaycart.Endpoint) error {
 		e.Mark = carawaycart.MarkNone
@@ -107,7 +109,8 @@
 	})
 }
 
-// SetZone takes the availability zone id out or brings it back.
+// SetZone takes availability zone id out of service, or brings it back if out is
+// false.
 func (a *Admin) SetZone(ctx context.Context, id carawaycart.ZoneID, out bool) (carawaycart.Change, error) {
 	return modify(ctx, a, carawaycart.KindZone, string(id), func(z *carawaycart.Zone) error {
 		z.Out = out
@@ -115,7 +118,7 @@
 	})
 }
 
-// AssignProfile lets service id run under a profile.
+// AssignProfile assigns profile p to service id.
 func (a *Admin) AssignProfile(ctx context.Context, id carawaycart.ServiceID, p carawaycart.ProfileName) (carawaycart.Change, error) {
 	return modify(ctx, a, carawaycart.KindService, string(id), func(s *carawaycart.Service) error {
 		s.Profile = p
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,4 +1,4 @@
-// Package admin makes the changes that operators ask for. Each change is one
-// entry of the change log; see package platform for what happens when operators
-// race or the store's answer is lost.
+// Package admin implements the configuration changes of operators. Each change is
+// one entry of the change log. Package platform describes how concurrent changes
+// and lost answers of the store are handled.
 package admin
