--- a/internal/mutate/doc.go
+++ b/internal/mutate/doc.go
@@ -1,3 +1,3 @@
-// Package mutate damages valid inputs in a repeatable way, for tests that a
-// decoder survives any input.
+// Package mutate generates corrupted copies of valid inputs, reproducibly from a
+// seed, for tests that decoders handle arbitrary input.
 package mutate
--- a/internal/mutate/mutate.go
+++ b/internal/mutate/mutate.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// Each calls f with count damaged copies of samples, the same for the same seed.
-// Each copy has bytes flipped, and may be cut short or have a part repeated.
+// Each calls f with count corrupted copies of randomly chosen samples. Equal seeds
+// give equal copies. A copy may have up to three bits flipped, and may be truncated
+// or have a prefix repeated.
 func Each(seed uint64, count int, samples [][]byte, f func([]byte)) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	for range count {
