--- a/clock.go
+++ b/clock.go
@@ -15,8 +15,8 @@
 // Now returns the current wall-clock time.
 func (SystemClock) Now() time.Time { return time.Now() }
 
-// SteadyClock is a monotonic Clock that also advances while the machine is
-// suspended. Only the differences between its times are meaningful.
+// SteadyClock is a monotonic Clock: it never jumps, and it advances also while the
+// machine is suspended. Only the differences between its times are meaningful.
 type SteadyClock struct{}
 
 // NewSteadyClock returns a SteadyClock.
--- a/flow.go
+++ b/flow.go
@@ -98,7 +98,7 @@
 	VerdictDrop    Verdict = iota // discard and count the Cause
 	VerdictForward                // send to Endpoint
 	VerdictRelay                  // send to Instance, which must not relay it again
-	VerdictReset                  // reset the flow, which does not exist, at the caller; count the Cause
+	VerdictReset                  // answer the caller with a reset, since the flow does not exist; count the Cause
 )
 
 // Cause is the reason why a packet was dropped or answered with a reset.
--- a/ids.go
+++ b/ids.go
@@ -45,7 +45,8 @@
 // instances.
 type AttemptID string
 
-// PermitID identifies a permit, which allows one request to use a request slot of an endpoint.
+// PermitID identifies a permit, which allows one request to use a request slot of
+// an endpoint.
 type PermitID string
 
 // SlotIndex is the index of a slot in the SlotTable of its service.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -94,7 +94,7 @@
 	Meaning    string
 	Default    string
 	Required   bool
-	OnlyFormat Format // format to which the setting is restricted; empty means all
+	OnlyFormat Format // only format whose files may have the setting; empty means all
 	set        func(*Settings, string) error
 }
 
