--- a/internal/edge/counters.go
+++ b/internal/edge/counters.go
@@ -19,28 +19,29 @@
 )
 
 // Counters holds the metrics of an instance. Its methods are safe for concurrent
-// use, except Decided, which one thread must call.
+// use, except CountDecision, which one thread must call.
 type Counters struct {
 	Registry metrics.Registry // holds all metrics below
 
-	Forwarded   metrics.Counter
-	Placed      metrics.Counter   // first packets sent to an endpoint, including resent ones
-	Hedged      metrics.Counter   // first packets resent to another endpoint
-	Avoided     metrics.Counter   // times an endpoint became avoided
-	Silenced    metrics.Counter   // times an endpoint became silent
-	Probes      metrics.Counter   // probes sent
-	UpdateBytes metrics.Counter   // bytes sent to peers over connections
-	Latency     metrics.Histogram // decision latency in nanoseconds
+	Forwarded metrics.Counter   // packets forwarded, except resent first packets
+	Placed    metrics.Counter   // first packets sent to an endpoint, including resent ones
+	Hedged    metrics.Counter   // first packets resent to another endpoint because no answer came
+	Avoided   metrics.Counter   // times an endpoint became avoided
+	Silenced  metrics.Counter   // times an endpoint became silent
+	Probes    metrics.Counter   // probes sent
+	PeerBytes metrics.Counter   // bytes of calls and replies to peers; updates sent as datagrams do not count
+	Latency   metrics.Histogram // decision latency in nanoseconds
 
 	dropped    [carawaycart.CauseCount]metrics.Counter // packets dropped
 	reset      [carawaycart.CauseCount]metrics.Counter // packets answered with a reset
-	faults     [carawaycart.FaultCount]metrics.Counter
-	storeCalls map[[2]string]metrics.Counter // by call and outcome
-	decisions  uint32                        // packets decided; written by one thread
+	faults     [carawaycart.FaultCount]metrics.Counter // datagrams that could not be decoded
+	storeCalls map[[2]string]metrics.Counter           // by kind and outcome
+	decisions  uint32                                  // packets decided; written by one thread
 }
 
 // storeCallKinds and storeOutcomes are the kinds and outcomes of calls that
-// platform.Store reports.
+// platform.Store reports. The kinds are reading items, granting a lease, renewing a
+// lease, and writing items.
 var (
 	storeCallKinds = []string{"range", "lease", "keep", "txn"}
 	storeOutcomes  = []string{"done", "failed"}
@@ -50,16 +51,16 @@
 func NewCounters() *Counters {
 	r := metrics.NewRegistry()
 	c := &Counters{
-		Registry:    r,
-		Forwarded:   metrics.NewRegisteredCounter("packetsForwarded", r),
-		Placed:      metrics.NewRegisteredCounter("flowsPlaced", r),
-		Avoided:     metrics.NewRegisteredCounter("endpointsAvoided", r),
-		Hedged:      metrics.NewRegisteredCounter("firstPacketsHedged", r),
-		Silenced:    metrics.NewRegisteredCounter("endpointsSilent", r),
-		Probes:      metrics.NewRegisteredCounter("probes", r),
-		UpdateBytes: metrics.NewRegisteredCounter("peerBytes.news", r),
-		Latency:     metrics.NewRegisteredHistogram("decisionNanos", r, metrics.NewExpDecaySample(latencyReservoirSize, latencyAlpha)),
-		storeCalls:  make(map[[2]string]metrics.Counter),
+		Registry:   r,
+		Forwarded:  metrics.NewRegisteredCounter("packetsForwarded", r),
+		Placed:     metrics.NewRegisteredCounter("flowsPlaced", r),
+		Avoided:    metrics.NewRegisteredCounter("endpointsAvoided", r),
+		Hedged:     metrics.NewRegisteredCounter("firstPacketsHedged", r),
+		Silenced:   metrics.NewRegisteredCounter("endpointsSilent", r),
+		Probes:     metrics.NewRegisteredCounter("probes", r),
+		PeerBytes:  metrics.NewRegisteredCounter("peerBytes.news", r),
+		Latency:    metrics.NewRegisteredHistogram("decisionNanos", r, metrics.NewExpDecaySample(latencyReservoirSize, latencyAlpha)),
+		storeCalls: make(map[[2]string]metrics.Counter),
 	}
 	for i := range c.dropped {
 		c.dropped[i] = metrics.NewRegisteredCounter("packetsDropped."+carawaycart.Cause(i).String(), r)
@@ -77,7 +78,7 @@
 }
 
 // RegisterViewGauges registers gauges for the revision and the age of the view.
-// The functions are called when the metrics are read.
+// The functions return them when the metrics are read, the age in milliseconds.
 func (c *Counters) RegisterViewGauges(revision, ageMillis func() int64) {
 	metrics.NewRegisteredFunctionalGauge("storeRevision", c.Registry, revision)
 	metrics.NewRegisteredFunctionalGauge("viewAgeMillis", c.Registry, ageMillis)
@@ -86,8 +87,9 @@
 // Fault counts a datagram that could not be decoded.
 func (c *Counters) Fault(f carawaycart.Fault) { c.faults[f].Inc(1) }
 
-// StoreCall counts a call to the store. It ignores unknown calls and outcomes.
-func (c *Counters) StoreCall(call, outcome string) {
+// CountStoreCall counts a call to the store, where call is its kind. It ignores
+// unknown kinds and outcomes.
+func (c *Counters) CountStoreCall(call, outcome string) {
 	if m := c.storeCalls[[2]string{call, outcome}]; m != nil {
 		m.Inc(1)
 	}
@@ -95,10 +97,10 @@
 
 // Sent counts bytes sent to a peer, for all methods together. It implements
 // peer.Meter.
-func (c *Counters) Sent(_ string, bytes int) { c.UpdateBytes.Inc(int64(bytes)) }
+func (c *Counters) Sent(_ string, bytes int) { c.PeerBytes.Inc(int64(bytes)) }
 
-// Decided counts a decision and samples the time it took.
-func (c *Counters) Decided(d *carawaycart.Decision, took time.Duration) {
+// CountDecision counts decision d and samples took, the time that it took.
+func (c *Counters) CountDecision(d *carawaycart.Decision, took time.Duration) {
 	switch d.Verdict {
 	case carawaycart.VerdictForward:
 		c.Forwarded.Inc(1)
--- a/internal/edge/disseminator.go
+++ b/internal/edge/disseminator.go
@@ -23,24 +23,30 @@
 
 const (
 	maxUpdateBytes = 1200 // size of a datagram that no link fragments
-	relaysPerZone  = 2    // instances of each other zone that receive an update and relay it
-	fetchTimeout   = 1500 * time.Millisecond
 
-	// minRelayAdvance is how much later than the last known read of the store an
-	// update without changes must have been read to be relayed.
+	// relaysPerZone is the number of instances of each other zone that an update is
+	// sent to, and that relay it to the peers of their zone.
+	relaysPerZone = 2
+
+	fetchTimeout = 1500 * time.Millisecond // limits a request for a snapshot
+
+	// minRelayAdvance limits the relaying of updates without changes. Such an update
+	// is relayed only if its read of the store began later than the last known one by
+	// more than this.
 	minRelayAdvance = 150 * time.Millisecond
 )
 
 // Disseminator sends updates of the store's contents to peers and applies the
-// updates that peers send. It implements peer.DirectoryHandler.
+// updates that peers send. Within its zone it also exchanges notices of silent
+// endpoints and the outcomes of requests. It implements peer.DirectoryHandler.
 type Disseminator struct {
 	ctx       context.Context // canceled by Close
 	cancel    context.CancelFunc
 	self      carawaycart.InstanceID
 	zone      carawaycart.ZoneID
 	view      *View
-	conn      *net.UDPConn
-	client    *peer.Client
+	conn      *net.UDPConn // carries updates and notices
+	client    *peer.Client // requests snapshots
 	clock     carawaycart.Clock
 	log       *eventlog.Log
 	router    *steer.Router
@@ -83,7 +89,8 @@
 }
 
 // Broadcast sends delta, the result of a read of the store that began at began, to
-// the peers of the zone and to relays in other zones.
+// the peers of the zone and to relays in other zones. Delta may be empty; the peers
+// then learn only that the store has been read.
 func (d *Disseminator) Broadcast(delta directory.Difference, began time.Time) {
 	state := d.view.State()
 	update := d.update(&delta, began, state.StoreFailure)
@@ -93,9 +100,9 @@
 	d.send(update, d.zonePeers(state.Instances))
 }
 
-// update returns the message for a delta read at began, where failure is the time of
-// the last store failure. The message is partial, without items, if it would exceed
-// maxUpdateBytes.
+// update returns the message for a delta read at began, where failure is the time
+// of the last store failure, or zero if none is known. The message is partial,
+// without items, if it would exceed maxUpdateBytes.
 func (d *Disseminator) update(delta *directory.Difference, began, failure time.Time) *message.DirectoryNews {
 	now := d.clock.Now()
 	update := &message.DirectoryNews{
@@ -112,6 +119,8 @@
 	return update
 }
 
+// send sends update to the given instances. It logs errors and continues with the
+// next instance.
 func (d *Disseminator) send(update *message.DirectoryNews, to []carawaycart.Registration) {
 	if len(to) == 0 {
 		return
@@ -134,8 +143,8 @@
 	d.send(&message.DirectoryNews{From: string(d.self), SilentTokens: []uint32{uint32(t)}}, d.zonePeers(d.view.State().Instances))
 }
 
-// BroadcastOutcomes sends the outcomes of requests to endpoints to the peers of the
-// zone.
+// BroadcastOutcomes sends the counts of failed and answered requests of endpoints to
+// the peers of the zone, which merge them with their own.
 func (d *Disseminator) BroadcastOutcomes(outcomes []steer.Outcomes) {
 	update := &message.DirectoryNews{From: string(d.self)}
 	for _, o := range outcomes {
@@ -193,9 +202,10 @@
 }
 
 // receive applies a datagram from a peer. It requests probes of silent endpoints,
-// records outcomes of requests, or applies an update of the view, which it relays if
-// asked to. If the update is partial or its base is unknown here, it fetches a
-// snapshot.
+// merges outcomes of requests, or applies an update to the view and relays it if
+// asked to. If the update is partial, or begins at a later revision than the view
+// has, it fetches a snapshot instead. A datagram that is malformed or was sent by
+// this instance is logged and ignored.
 func (d *Disseminator) receive(data []byte, from netip.AddrPort) {
 	update := &message.DirectoryNews{}
 	if err := proto.Unmarshal(data, update); err != nil || update.GetFrom() == "" || update.GetFrom() == string(d.self) {
@@ -264,8 +274,7 @@
 	})
 }
 
-// Join fetches a snapshot from the peer at address, asks the peer to register own,
-// and reports whether the peer sent a snapshot.
+// Join is like Fetch, and also asks the peer to register own.
 func (d *Disseminator) Join(ctx context.Context, address netip.AddrPort, own carawaycart.Registration) bool {
 	return d.requestSnapshot(ctx, address, address.String(), &message.DirectoryRequest{
 		Revision: uint64(d.view.State().At), Id: string(own.ID), Zone: string(own.Zone), PeerAddress: own.PeerAddress.String(),
@@ -273,13 +282,15 @@
 }
 
 // Fetch fetches a snapshot from the peer at address and applies it to the view. It
-// reports whether the peer sent one. The log calls the peer name.
+// returns false if the request failed or the peer has not read the store yet. The
+// name identifies the peer in the log.
 func (d *Disseminator) Fetch(ctx context.Context, address netip.AddrPort, name string) bool {
 	return d.requestSnapshot(ctx, address, name, &message.DirectoryRequest{Revision: uint64(d.view.State().At)})
 }
 
-// requestSnapshot sends r to the peer at address and applies the reply to the view.
-// It reports whether the peer sent a snapshot.
+// requestSnapshot sends r to the peer at address and applies the reply to the view,
+// with the results of Fetch. It closes the connection to the peer if the request
+// failed.
 func (d *Disseminator) requestSnapshot(ctx context.Context, address netip.AddrPort, name string, r *message.DirectoryRequest) bool {
 	began := d.clock.Now()
 	reply := &message.DirectoryCopy{}
@@ -321,24 +332,26 @@
 // snapshotCache retains the last encoded snapshot, because all peers of a zone
 // request the same one after a change.
 type snapshotCache struct {
-	mu        sync.Mutex
-	since, at carawaycart.StoreRevision // revisions that reply leads from and to
-	confirmed time.Time                 // start of the read of the store that reply reflects
-	encoded   time.Time                 // when reply was encoded
-	reply     *message.DirectoryCopy
+	mu              sync.Mutex
+	since, revision carawaycart.StoreRevision // reply updates a directory from since to revision
+	confirmed       time.Time                 // start of the read of the store that reply reflects
+	encodedAt       time.Time                 // when reply was encoded
+	reply           *message.DirectoryCopy
 }
 
-// get returns a snapshot for a peer that is complete up to revision since.
+// get returns the snapshot that a peer needs whose view is complete up to since. Its
+// age is that of the read at now. It returns an error if the snapshot cannot be
+// encoded.
 func (c *snapshotCache) get(view *View, since carawaycart.StoreRevision, now time.Time) (*message.DirectoryCopy, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reply == nil || c.since != since || c.at != view.State().At || now.Sub(c.encoded) > snapshotCacheTTL {
+	if c.reply == nil || c.since != since || c.revision != view.State().At || now.Sub(c.encodedAt) > snapshotCacheTTL {
 		snapshot, confirmed := view.Since(since)
 		reply, err := message.FromCopy(snapshot, 0)
 		if err != nil {
 			return nil, err
 		}
-		c.since, c.at, c.confirmed, c.encoded, c.reply = since, snapshot.At, confirmed, now, reply
+		c.since, c.revision, c.confirmed, c.encodedAt, c.reply = since, snapshot.At, confirmed, now, reply
 	}
 	age := max(now.Sub(c.confirmed), 0)
 	return &message.DirectoryCopy{
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -33,10 +33,10 @@
 	unreadyNoticePeriod = 1200 * time.Millisecond
 
 	closeReserve   = 700 * time.Millisecond // part of the grace time reserved for Close
-	stopPollPeriod = 50 * time.Millisecond
+	stopPollPeriod = 50 * time.Millisecond  // time between checks whether a stopping instance may close
 )
 
-// Edge is one running instance.
+// Edge is one running instance of the load balancer.
 type Edge struct {
 	settings atomic.Pointer[settings.Settings]
 	clock    carawaycart.Clock
@@ -58,7 +58,7 @@
 	operatorServer *operator.Server
 
 	stopping   atomic.Bool
-	isolated   atomic.Bool  // state of the last isolated event in the log
+	isolated   atomic.Bool  // value in the last logged isolated event
 	lastPacket atomic.Int64 // time of the last packet, in Unix nanoseconds of clock
 }
 
@@ -69,17 +69,17 @@
 	e := &Edge{clock: clock, log: log, counters: NewCounters()}
 	e.settings.Store(&s)
 	e.prober = NewProber(clock, e.counters, log)
-	watcher := &observer{counters: e.counters, log: log, prober: e.prober}
-	e.router = steer.NewRouter(s.Zone, rand.NewPCG(rand.Uint64(), rand.Uint64()), watcher)
+	routerObserver := &observer{counters: e.counters, log: log, prober: e.prober}
+	e.router = steer.NewRouter(s.Zone, rand.NewPCG(rand.Uint64(), rand.Uint64()), routerObserver)
 	e.prober.router = e.router
 	e.hedger = NewHedger(e.router, sockets.Fabric, clock, log)
 	e.view = NewView(s.ID, steer.Limits{ColdOverrun: s.ColdOverrun, ColdSlack: s.ColdSlack}, e.router, clock, log)
-	e.store = platform.NewStore(s.Store, e.counters.StoreCall)
+	e.store = platform.NewStore(s.Store, e.counters.CountStoreCall)
 	e.client = peer.NewClient(e.counters)
 	own := carawaycart.Registration{ID: s.ID, Zone: s.Zone, PeerAddress: sockets.Updates.LocalAddr().(*net.UDPAddr).AddrPort()}
 	e.registrar = NewRegistrar(own, e.store, e.view, clock, log)
 	e.disseminator = NewDisseminator(s.ID, s.Zone, e.view, e.router, sockets.Updates, e.client, e.registrar, clock, log)
-	watcher.disseminator = e.disseminator
+	routerObserver.disseminator = e.disseminator
 	e.prober.notifySilent = e.disseminator.BroadcastSilent
 	var err error
 	if e.peerServer, err = peer.NewDirectoryServer(sockets.Peer, e.disseminator, e.counters); err != nil {
@@ -100,8 +100,8 @@
 	return e, nil
 }
 
-// joinRetryPeriod is the time between attempts to reach a seed, which may itself
-// still be starting, since all instances may start at the same time.
+// joinRetryPeriod is the time between requests to seeds. A seed may itself still be
+// starting, since all instances may start at the same time.
 const joinRetryPeriod = 50 * time.Millisecond
 
 // Delays before each of the two requests to a peer for the ended lifetimes.
@@ -112,10 +112,11 @@
 	secondEndedFetchDelay = 2500 * time.Millisecond
 )
 
-// join requests a snapshot from the seeds in turn until one of them or the store
-// has answered. It then fetches the ended lifetimes twice from a peer of another
-// zone: the store does not retain ended lifetimes, although packets of their flows
-// still arrive, and peers of the own zone may have started at the same time.
+// join requests a snapshot from the seeds in turn, beginning with a random one,
+// until one of them or the store has answered, or it reaches its own address among
+// the seeds. It then fetches the ended lifetimes twice from a peer of another zone:
+// the store does not retain ended lifetimes, although packets of their flows still
+// arrive, and peers of the own zone may have started at the same time.
 func (e *Edge) join(own carawaycart.Registration) {
 	s := e.settings.Load()
 	for attempt := int(rand.Uint32() & math.MaxInt16); len(s.Seeds) > 0 && e.view.State().Confirmed.IsZero() && !e.stopping.Load(); attempt++ {
@@ -198,8 +199,8 @@
 	return isolated
 }
 
-// Stop shuts the instance down gracefully. The instance keeps forwarding packets
-// until the fabric no longer sends any or the grace time is nearly over.
+// Stop shuts the instance down gracefully. The instance is no longer ready, but keeps
+// forwarding packets until the fabric sends no more or the grace time is nearly over.
 func (e *Edge) Stop() {
 	began := e.clock.Now()
 	e.stopping.Store(true)
@@ -236,11 +237,11 @@
 
 // Sockets holds the open sockets of an instance.
 type Sockets struct {
-	Fabric   *net.UDPConn
-	Updates  *net.UDPConn // messages between peers; has the address of Peer
-	Peer     net.Listener
-	Ready    net.Listener
-	Operator net.Listener
+	Fabric   *net.UDPConn // packets of callers
+	Updates  *net.UDPConn // datagrams between peers; has the address of Peer
+	Peer     net.Listener // requests of peers for snapshots
+	Ready    net.Listener // readiness checks of the fabric
+	Operator net.Listener // status, explanations and metrics
 }
 
 // Open opens the sockets at the addresses in s. If one cannot be opened, it returns
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -107,14 +107,15 @@
 	}
 }
 
+// kill closes i immediately, without the graceful shutdown of Stop.
 func (f *fleet) kill(i *instance) {
 	i.edge.Close()
 	i.log.Close()
 	i.edge = nil
 }
 
-// await waits until condition holds. The limit of the wait only ends a test that has
-// failed.
+// await waits until condition holds, and ends the test with an error after 30 s. The
+// limit is far above any time that a test requires.
 func (f *fleet) await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
@@ -141,6 +142,7 @@
 	t.Log(f.Ledger.Summary(), "store calls", f.Store.Calls())
 }
 
+// Guards against requests that fail although all endpoints and the store are healthy.
 func TestHealthyFleetAnswersEveryRequest(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2, 3, 2)
@@ -162,13 +164,15 @@
 	before, began := f.Store.Calls(), time.Now()
 	f.awaitRequests(t, 60)
 	perSecond := float64(f.Store.Calls()-before) / time.Since(began).Seconds()
-	if perSecond > 8 { // one read per instance and second
+	if perSecond > 8 { // one call per instance per second
 		t.Errorf("got %.1f store calls per second from 8 instances, want at most one per instance", perSecond)
 	}
 	f.checkLedger(t)
 }
 
-// Guards against new flows sent to a draining endpoint or an evacuated zone.
+// An endpoint drains, a zone is evacuated and taken back, a cold endpoint is added and
+// a new configuration is written. Guards against new flows sent to the draining
+// endpoint or the evacuated zone, and against requests lost in these changes.
 func TestEndpointZoneAndConfigurationChanges(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2, 3, 2)
@@ -188,7 +192,9 @@
 	f.checkLedger(t)
 }
 
-// Guards against requests that keep being sent to endpoints that do not answer.
+// One endpoint is unreachable and has lost its flows, and another is unreachable for a
+// time and keeps its flows. Guards against requests that keep being sent to endpoints
+// that do not answer.
 func TestUnreachableEndpoints(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2, 3, 2)
@@ -291,8 +297,9 @@
 	f.checkLedger(t)
 }
 
-// Checks what operators query from a running instance: status, explanations of
-// flows, and metrics.
+// Operators query the status, explanations of flows, and metrics of a running
+// instance. Guards against an unreachable endpoint without an alarm, a flow without an
+// explanation, and metrics that are not listed.
 func TestStatusMetricsAndExplain(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 1, 2, 2)
--- a/internal/edge/hedger.go
+++ b/internal/edge/hedger.go
@@ -22,19 +22,20 @@
 	conn   *net.UDPConn
 	clock  carawaycart.Clock
 	log    *eventlog.Log
-	wake   chan struct{}
-	stop   chan struct{}
+	wake   chan struct{} // signaled when a packet is added to an empty pending
+	stop   chan struct{} // closed by Close
 	done   sync.WaitGroup
 
 	mu      sync.Mutex
-	pending []pendingPacket // nearly in order of due, since timeouts differ between zones
+	pending []pendingPacket // ordered by due, except between zones with different timeouts
 }
 
-// pendingPacket is a first packet whose answer has not been seen.
+// pendingPacket is a first packet that is resent unless the router has seen its
+// answer by the time it is due.
 type pendingPacket struct {
 	key  carawaycart.FlowKey
 	data []byte    // the packet, after room for the endpoint's number
-	due  time.Time // when the packet is resent
+	due  time.Time // when the timeout for the answer expires
 }
 
 // NewHedger returns a hedger that sends on conn until Close is called.
@@ -64,18 +65,18 @@
 	h.done.Wait()
 }
 
-// Schedule retains a copy of b, a first packet with the endpoint's number before it
-// that was sent to an endpoint in zone at now. The copy is resent when the timeout
-// of the zone expires without an answer.
+// Schedule retains a copy of b, the first packet of the flow at key, which was sent
+// to an endpoint in zone at now. The packet in b follows the endpoint's number. The
+// copy is resent to another endpoint if no answer arrives within the zone's timeout.
 func (h *Hedger) Schedule(key *carawaycart.FlowKey, b []byte, zone carawaycart.ZoneID, now time.Time) {
 	p := pendingPacket{key: *key, data: append([]byte(nil), b...), due: now.Add(h.router.Patience(zone))}
 	h.mu.Lock()
-	idle := len(h.pending) == 0
+	wasEmpty := len(h.pending) == 0
 	if len(h.pending) < maxPendingPackets {
 		h.pending = append(h.pending, p)
 	}
 	h.mu.Unlock()
-	if idle {
+	if wasEmpty {
 		select {
 		case h.wake <- struct{}{}:
 		default:
@@ -83,7 +84,7 @@
 	}
 }
 
-// sendDue resends the packets that are due. It returns the time until the next
+// sendDue hedges the packets that are due. It returns the time until the next
 // packet is due, or zero if none is pending.
 func (h *Hedger) sendDue() time.Duration {
 	for {
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -38,8 +38,8 @@
 		Int("token", int64(p.Token)).Int("revision", int64(r)).End()
 }
 
-// Avoided logs that an endpoint is avoided for period because it left a packet or
-// request unanswered, as named by what.
+// Avoided logs that an endpoint is avoided for period because it left a packet
+// unanswered: a first packet if what is "first", data if it is "data".
 func (o *observer) Avoided(e carawaycart.EndpointID, what string, period time.Duration) {
 	o.counters.Avoided.Inc(1)
 	o.log.Event("avoided").Text("endpoint", string(e)).Text("unanswered", what).Millis("forMs", period).End()
@@ -65,8 +65,8 @@
 		Int("refusedPercent", percent(v.Level)).Int("urgentPercent", percent(v.Urgent)).End()
 }
 
-// Failing logs the outcomes of endpoints that left requests unanswered, and sends
-// them to the peers of the zone.
+// Failing logs the counts of failed and answered requests of endpoints that left
+// requests unanswered, and sends the counts to the peers of the zone.
 func (o *observer) Failing(outcomes []steer.Outcomes) {
 	for _, f := range outcomes {
 		o.log.Event("failing").Int("token", int64(f.Token)).Int("failed", int64(f.Failed)).Int("answered", int64(f.Answered)).End()
--- a/internal/edge/operatorconfig.go
+++ b/internal/edge/operatorconfig.go
@@ -11,7 +11,7 @@
 	"carawaycart/io/platform"
 )
 
-// directoryStore adapts a directory to a read-only carawaycart.Store.
+// directoryStore adapts a directory to a carawaycart.Store that supports only Get.
 type directoryStore struct{ directory *directory.Directory }
 
 // Get returns the entry at key, or a NotFound error if there is none.
@@ -39,14 +39,16 @@
 }
 
 // loadOperatorConfig returns the configuration that operators have set with the
-// product's own commands: profiles, their services, marks of endpoints, and zones.
+// carawaycart commands: profiles, their services, marks of endpoints, and zones. It
+// skips changes that cannot be decoded or applied, and returns an error if the
+// snapshot of the configuration cannot be decoded.
 func loadOperatorConfig(d *directory.Directory, clock carawaycart.Clock) (*config.Configuration, error) {
 	return platform.NewChangeLog(directoryStore{d}, clock).Latest(context.Background())
 }
 
 // applyOperatorConfig adds the zones that operators took out of service to
-// contents and marks the lifetimes of marked endpoints as draining. It returns the
-// profile of each service that has one.
+// contents, and sets Draining in the lifetimes of endpoints that operators marked.
+// It returns the profile of each service that has one.
 func applyOperatorConfig(contents *directory.Contents, operator *config.Configuration) map[carawaycart.ServiceID]carawaycart.Profile {
 	for id, z := range operator.Zones {
 		if z.Out {
--- a/internal/edge/operatorconfig_test.go
+++ b/internal/edge/operatorconfig_test.go
@@ -8,25 +8,26 @@
 	"carawaycart"
 	"carawaycart/internal/admin"
 	"carawaycart/io/platform"
-	users "carawaycart/platform"
+	platformstore "carawaycart/platform"
 	"carawaycart/platform/standin"
 )
 
 // Profiles, services and zones that operators set are stored in the platform's store
 // and must take effect on the fleet. Guards against a configuration that is written
-// but not applied.
+// but not applied: too many new flows at a cold endpoint, or packets sent to a zone
+// that was taken out.
 func TestOperatorConfigTakesEffect(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2, 2, 2)
 	f.BeginLoad(3, 30)
-	store := users.NewStore(f.Store.URL(), nil)
+	store := platformstore.NewStore(f.Store.URL(), nil)
 	t.Cleanup(store.Close)
 	clock := carawaycart.NewSystemClock()
 	a := admin.NewAdmin(platform.NewChangeLog(store, clock), "anna", clock)
 	put := func(kind carawaycart.ObjectKind, name string, object any) {
 		t.Helper()
 		if _, err := a.Put(t.Context(), kind, name, object); err != nil {
-			t.Fatalf("%s %s: %v", kind, name, err)
+			t.Fatalf("put %s %s: %v", kind, name, err)
 		}
 	}
 	put(carawaycart.KindProfile, "timid", carawaycart.Profile{
@@ -38,8 +39,8 @@
 	})
 	put(carawaycart.KindZone, "a", carawaycart.Zone{ID: "a"})
 	f.awaitRequests(t, 100) // takes longer than the next read of the store
-	const cold = 4 * time.Second
-	coldHost, err := f.AddHost("a", cold)
+	const coldPeriod = 4 * time.Second
+	coldHost, err := f.AddHost("a", coldPeriod)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/prober.go
+++ b/internal/edge/prober.go
@@ -25,7 +25,8 @@
 	maxProbePeriod     = 1600 * time.Millisecond
 )
 
-// Prober sends health checks to endpoints that left packets unanswered.
+// Prober sends health checks to endpoints that left packets unanswered, here or at a
+// peer.
 type Prober struct {
 	router       *steer.Router
 	notifySilent func(carawaycart.Token) // informs peers that an endpoint is silent
@@ -58,8 +59,8 @@
 	p.done.Wait()
 }
 
-// Probe starts probing the endpoint of l until it answers or l has ended. It does
-// nothing if l is being probed already.
+// Probe starts to probe the endpoint of l in the background, until it answers or l
+// has ended. It does nothing if l is being probed already.
 func (p *Prober) Probe(l *carawaycart.Lifetime) {
 	key := l.Key()
 	p.mu.Lock()
@@ -98,9 +99,9 @@
 }
 
 // probeOnce reports whether endpoint id is alive at url. An endpoint that accepts
-// the connection is alive, even if it is too busy to answer in time. An answer with
-// the ID of another endpoint, which may have been given the address since, does not
-// count.
+// the connection is alive, even if it is too busy to answer in time. It is not alive
+// if the answer has the ID of another endpoint, which may have been given the address
+// since.
 func (p *Prober) probeOnce(url, id string) bool {
 	ctx, cancel := context.WithTimeout(p.ctx, probeTimeout)
 	defer cancel()
--- a/internal/edge/prober_test.go
+++ b/internal/edge/prober_test.go
@@ -12,16 +12,16 @@
 // against counting the answer of the new endpoint as an answer of the old one.
 func TestProbeChecksEndpointIdentity(t *testing.T) {
 	for _, test := range []struct {
-		name, answers string
-		want          bool
+		name, responder string
+		want            bool
 	}{
 		{"the same endpoint", "i-1", true},
 		{"another endpoint", "i-2", false},
 		{"an answer without an ID", "", true},
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			if test.answers != "" {
-				w.Header().Set("X-Instance-Id", test.answers)
+			if test.responder != "" {
+				w.Header().Set("X-Instance-Id", test.responder)
 			}
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}))
@@ -34,6 +34,8 @@
 	}
 }
 
+// An endpoint whose process has ended refuses connections. Guards against counting it
+// as alive.
 func TestProbeOfClosedPort(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	s.Close()
@@ -45,7 +47,7 @@
 }
 
 // An overloaded endpoint accepts connections but answers late. Guards against
-// treating it as dead.
+// counting it as not alive, so that it becomes silent.
 func TestProbeOfOverloadedEndpoint(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer s.Close()
--- a/internal/edge/reader.go
+++ b/internal/edge/reader.go
@@ -21,13 +21,17 @@
 	// within 3 s.
 	readPeriod = 600 * time.Millisecond
 
-	// zoneDelayStep is the additional delay of each further zone. A read takes up to
-	// 120 ms on a 10 Mbit/s link.
+	// zoneDelayStep is the time by which the instances of a zone delay their reads
+	// after those of the zone before it in sorted order. A read takes up to 120 ms on
+	// a 10 Mbit/s link.
 	zoneDelayStep = 150 * time.Millisecond
 
-	rankDelayStep = 200 * time.Millisecond // additional delay of each further instance of a zone
-	maxZoneSteps  = 4                      // limit of the steps by zone
-	maxRankSteps  = 4                      // limit of the steps by rank in the zone
+	// rankDelayStep is the time by which an instance delays its reads after the
+	// instance of the same zone with the next higher rendezvous hash.
+	rankDelayStep = 200 * time.Millisecond
+
+	maxZoneSteps = 4 // limit of the zone delay, in steps
+	maxRankSteps = 4 // limit of the rank delay, in steps
 
 	// readTimeout limits a read of the store, which takes 4 ms, and up to 60 times
 	// as long when the store is slow.
@@ -41,10 +45,11 @@
 	// first time. Seeds then take up to 0.3 s to answer.
 	firstStartHeadStart = time.Second
 
-	firstReadRetryPeriod = 100 * time.Millisecond // first retry period while the store has never been read
-	retryPeriod          = 400 * time.Millisecond // first retry period after that
+	// The time between a failed read and the next doubles with each further failure.
+	firstReadRetryPeriod = 100 * time.Millisecond // initial value while the store has never been read
+	retryPeriod          = 400 * time.Millisecond // initial value after that
 	maxRetryPeriod       = 2 * time.Second
-	maxRetryDoublings    = 6
+	maxRetryDoublings    = 6 // prevents an overflow before maxRetryPeriod applies
 )
 
 // Reader reads the store when the fleet's last read is too old, and maintains the
@@ -98,7 +103,6 @@
 	return seedHeadStart
 }
 
-// laterTime returns the later of two times.
 func laterTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -106,8 +110,9 @@
 	return b
 }
 
-// readWhenDue waits until a read is due and reads the store, unless a peer reads it first.
-// It then reconciles the registration.
+// readWhenDue waits until a read is due and reads the store, unless a peer reads it
+// first. It then reconciles the registration. Before the first read, a snapshot or
+// update from a peer ends the wait.
 func (r *Reader) readWhenDue(ctx context.Context) {
 	state := r.view.State()
 	wait := r.nextRead(&state).Sub(r.clock.Now())
@@ -133,8 +138,8 @@
 	r.registrar.Reconcile(ctx)
 }
 
-// nextRead returns the time at which the instance reads the store unless a later
-// read by a peer becomes known before.
+// nextRead returns the time at which the instance reads the store, unless it learns
+// of a read by a peer before that time.
 func (r *Reader) nextRead(state *State) time.Time {
 	if state.Confirmed.IsZero() {
 		return laterTime(r.firstRead, r.clock.Now().Add(r.backoff(firstReadRetryPeriod)))
@@ -148,20 +153,21 @@
 	return nextRead
 }
 
-// backoff returns the delay before the next read: zero without failures, else first
-// doubled with each consecutive failure, up to maxRetryPeriod.
-func (r *Reader) backoff(first time.Duration) time.Duration {
+// backoff returns the delay before the next read. The delay is zero without failures,
+// initial after one, and doubles with each further consecutive failure, up to
+// maxRetryPeriod.
+func (r *Reader) backoff(initial time.Duration) time.Duration {
 	if r.failures == 0 {
 		return 0
 	}
-	return min(first<<min(r.failures-1, maxRetryDoublings), maxRetryPeriod)
+	return min(initial<<min(r.failures-1, maxRetryDoublings), maxRetryPeriod)
 }
 
 // readDelay returns how much longer than readPeriod the instance waits for others to
 // read. The delay grows with the position of the zone in sorted order, and with the
-// instance's rank in the zone by rendezvous hash. An instance that is neither listed
-// nor has written its own entry gets the last rank, because it cannot tell how many
-// such instances there are.
+// instance's rank in the zone by rendezvous hash. An instance that is not listed gets
+// the last rank, because it cannot tell how many such instances there are. If written
+// is true, it has written entries to the store and counts as listed.
 func readDelay(self carawaycart.InstanceID, zone carawaycart.ZoneID, instances []carawaycart.Registration, written bool) time.Duration {
 	key := rendezvous.NewKey("reader")
 	ownScore := rendezvous.Score(rendezvous.NewName(string(self)), key)
@@ -184,7 +190,8 @@
 	return time.Duration(min(slices.Index(zones, zone), maxZoneSteps))*zoneDelayStep + time.Duration(min(rank, maxRankSteps))*rankDelayStep
 }
 
-// read reads the store into the view and broadcasts the changes to peers.
+// read reads the store into the view and broadcasts the delta to peers. A failure is
+// recorded in the view and delays the next read.
 func (r *Reader) read(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/edge/reader_test.go
+++ b/internal/edge/reader_test.go
@@ -19,8 +19,9 @@
 	return all
 }
 
-// Guards against several instances reading the store at the same time.
-func TestSingleInstanceHasNoReadDelay(t *testing.T) {
+// Guards against several instances of a fleet that read the store at the same time,
+// and against a fleet of which none reads without delay.
+func TestExactlyOneInstanceHasNoReadDelay(t *testing.T) {
 	all := registrations(5, "a", "b")
 	delays := make(map[time.Duration]int)
 	for _, i := range all {
--- a/internal/edge/ready.go
+++ b/internal/edge/ready.go
@@ -10,8 +10,8 @@
 // fabric checks twice a second.
 const readyHeaderTimeout = 2 * time.Second
 
-// newReadyServer serves the fabric's readiness checks at path. It answers 200 if
-// ready returns true, and 503 otherwise.
+// newReadyServer starts a server on listener that answers the fabric's readiness
+// checks at path: with 200 if ready returns true, and with 503 otherwise.
 func newReadyServer(listener net.Listener, path string, ready func() bool) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/edge/registrar.go
+++ b/internal/edge/registrar.go
@@ -12,20 +12,22 @@
 )
 
 const (
-	// leaseTTL is the longest lifetime of a lease that the store grants. The entry of
-	// an instance that died is listed until its lease expires.
+	// leaseTTL is the longest TTL of a lease that the store grants. The entry of an
+	// instance that died is listed until its lease expires.
 	leaseTTL    = 10 * time.Minute
-	renewPeriod = leaseTTL / 3
+	renewPeriod = leaseTTL / 3 // time between renewals of the lease
 
-	// registerRetryPeriod is the time between attempts. A written entry is visible
-	// only after the next read of the store.
+	// registerRetryPeriod is the time between attempts to write the instance's entry
+	// or to renew the lease. A written entry is visible only after the next read of
+	// the store.
 	registerRetryPeriod = 3 * time.Second
 
-	// gatherPeriod is how long requests are collected, so that the entries of
-	// instances that start at the same time are written together.
+	// gatherPeriod is how long requests of peers are collected from the first one on,
+	// so that the entries of instances that start at the same time are written
+	// together.
 	gatherPeriod = 400 * time.Millisecond
 
-	registerTimeout = time.Second
+	registerTimeout = time.Second // limits the calls to the store of one Reconcile
 )
 
 // Registrar maintains the instance's entry in the store, by which peers find it. A
@@ -40,10 +42,10 @@
 	log   *eventlog.Log
 
 	mu          sync.Mutex
-	lease       platform.LeaseID
+	lease       platform.LeaseID           // lease of the written entries; zero if there is none
 	renewAt     time.Time                  // when the lease is next renewed
 	retryAt     time.Time                  // when the own entry may be written again
-	requested   []carawaycart.Registration // entries that peers asked for
+	requested   []carawaycart.Registration // entries that peers asked to be written
 	gatherUntil time.Time                  // when the entries in requested are written
 }
 
@@ -80,8 +82,9 @@
 	return g.lease != 0
 }
 
-// Reconcile writes the entries that are absent from the store, or renews their lease
-// if that is due. It does nothing before the store has been read.
+// Reconcile writes the instance's entry and those that peers asked for, unless they
+// are listed already. If there is none to write, it renews the lease when that is due.
+// It does nothing before the store has been read.
 func (g *Registrar) Reconcile(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/edge/status.go
+++ b/internal/edge/status.go
@@ -102,19 +102,20 @@
 	case !flow.Routed:
 		return explanation, errors.NotFoundf("route for %s", key.Service)
 	case !flow.Seen:
-		explanation.Rule = "by the token of each packet; this instance has seen no recent packet of the flow"
+		explanation.Rule = "by the token of each packet; none of this flow passed here lately"
 		return explanation, nil
 	}
 	lifetime := &flow.Endpoint.Lifetime
 	explanation.Service, explanation.Current = lifetime.Service, lifetime.ID
+	// The times of clock have no meaning but their differences.
 	explanation.OpenedAt = time.Now().Add(flow.Opened.Sub(now))
 	explanation.Rule = fmt.Sprintf("by token %d; endpoint %s, first packet sent to %d endpoints, waiting for an answer: %t",
 		flow.Endpoint.Token, endpointState(&flow.Endpoint), flow.Tried, flow.Waiting)
 	return explanation, nil
 }
 
-// ExplainKey returns an empty explanation, since an Edge forwards packets without
-// reading requests and has no record of keyed requests.
+// ExplainKey returns an empty explanation, since the instance forwards packets
+// without reading requests and has no record of keyed requests.
 func (e *Edge) ExplainKey(key carawaycart.IdempotencyKey) operator.KeyExplanation {
 	return operator.KeyExplanation{Key: key}
 }
--- a/internal/edge/translator.go
+++ b/internal/edge/translator.go
@@ -18,18 +18,20 @@
 	resetPort  uint16        // fabric port of callers, to which resets are sent
 	lastPacket *atomic.Int64 // time of the last packet, in Unix nanoseconds of clock
 	hedger     *Hedger
-	packet     carawaycart.Packet
+	packet     carawaycart.Packet // decoded packet, reused between calls
 }
 
-// Headroom returns the bytes needed before a packet for the endpoint's number.
+// Headroom returns the length of the endpoint's number, which precedes a packet.
 func (*translator) Headroom() int { return platform.NumberBytes }
 
 // MaxDatagram returns the length of the longest packet plus one byte, so that
 // longer packets can be detected.
 func (*translator) MaxDatagram() int { return platform.MaxPacket + 1 }
 
-// Translate returns the packet to send and its destination: the packet in b for an
-// endpoint, or a reset for the caller. It returns false if nothing is to be sent.
+// Translate returns what to send for the packet that begins in b after the headroom,
+// and its destination: the packet itself after the endpoint's number, for an endpoint, or
+// a reset for the caller. The result lies in b. It returns false if nothing is to be
+// sent.
 func (t *translator) Translate(b []byte) ([]byte, netip.AddrPort, bool) {
 	began := time.Now()
 	p, data := &t.packet, b[platform.NumberBytes:]
@@ -40,7 +42,7 @@
 	now := t.clock.Now()
 	t.lastPacket.Store(now.UnixNano())
 	d := t.router.Decide(p, now)
-	t.counters.Decided(&d, time.Since(began))
+	t.counters.CountDecision(&d, time.Since(began))
 	switch d.Verdict {
 	case carawaycart.VerdictForward:
 		if p.Kind == carawaycart.PacketFirst {
--- a/internal/edge/view.go
+++ b/internal/edge/view.go
@@ -12,9 +12,10 @@
 	"carawaycart/platform"
 )
 
-// maxReadGap is the longest time between reads of the store that does not count as
-// a store failure. The absence of an entry after a failure does not prove that its
-// lifetime has ended. Reads are about a second apart.
+// maxReadGap is the time between two reads of the store above which a store failure
+// is assumed. An entry that is absent after a failure may only have lapsed, so that
+// its lifetime does not count as ended immediately. Reads of a fleet are normally less
+// than a second apart.
 const maxReadGap = 2500 * time.Millisecond
 
 // View is the instance's replica of the platform's store. It rebuilds the router's
@@ -28,19 +29,19 @@
 
 	mu             sync.Mutex
 	directory      *directory.Directory
-	roster         *directory.Roster // presence of each lifetime
+	tracker        *directory.Roster // presence of each lifetime
 	contents       directory.Contents
-	operatorConfig *config.Configuration // set by operators with the product's commands
+	operatorConfig *config.Configuration // set by operators with the carawaycart commands
 	confirmed      time.Time             // start of the last known read of the store
 	storeFailure   time.Time             // time of the last known store failure
-	renewed        chan struct{}
+	renewed        chan struct{}         // closed and replaced when confirmed advances
 }
 
 // NewView returns an empty view for instance self that sets the tables of r.
 func NewView(self carawaycart.InstanceID, l steer.Limits, r *steer.Router, k carawaycart.Clock, log *eventlog.Log) *View {
 	return &View{
 		self: self, limits: l, router: r, clock: k, log: log,
-		directory: directory.New(platform.Decode), roster: directory.NewRoster(), renewed: make(chan struct{}),
+		directory: directory.New(platform.Decode), tracker: directory.NewRoster(), renewed: make(chan struct{}),
 		operatorConfig: config.New(),
 	}
 }
@@ -78,8 +79,9 @@
 	}
 }
 
-// ApplyRead applies a read of the store that began at began, and returns the
-// resulting changes.
+// ApplyRead applies a read of the store that began at began, and returns the delta
+// between the view and the read. A read older than the view is ignored, and its delta
+// is empty.
 func (v *View) ApplyRead(read platform.Read, began time.Time) directory.Difference {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -91,8 +93,8 @@
 }
 
 // ApplyUpdate applies a delta received from the peer from, for a read of the store
-// that began at began. It returns false if the delta's base is later than the view,
-// so that a snapshot is needed.
+// that began at began. It returns false if the delta begins at a later revision than
+// the view has, so that a snapshot is needed.
 func (v *View) ApplyUpdate(delta directory.Difference, from string, began time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -111,7 +113,7 @@
 func (v *View) ApplySnapshot(snapshot directory.Copy, from string, began time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	endedAdded := v.roster.Remember(snapshot.Ended, v.clock.Now())
+	endedAdded := v.tracker.Remember(snapshot.Ended, v.clock.Now())
 	changed := v.directory.Adopt(snapshot) || endedAdded
 	if snapshot.At >= v.directory.At() {
 		v.confirm(began, from, changed)
@@ -121,7 +123,9 @@
 }
 
 // confirm records that the directory is complete up to a read of the store that
-// began at began, and rebuilds the table if it changed or entries have lapsed.
+// began at began. It rebuilds the router's table if the directory has changed, or
+// if a lifetime is lapsed, since it may end without such a change. The source is the
+// peer that sent the read, or "store". The caller holds mu.
 func (v *View) confirm(began time.Time, source string, changed bool) {
 	now := v.clock.Now()
 	if began.Sub(v.confirmed) > maxReadGap && !v.confirmed.IsZero() {
@@ -132,12 +136,13 @@
 		close(v.renewed)
 		v.renewed = make(chan struct{})
 	}
-	if changed || v.roster.Lapsing() {
+	if changed || v.tracker.Lapsing() {
 		v.rebuild(source, now)
 	}
 }
 
-// rebuild replaces the router's table with one for the directory as of now.
+// rebuild replaces the router's table with one for the directory as of now. The
+// source of the change is only logged. The caller holds mu.
 func (v *View) rebuild(source string, now time.Time) {
 	v.contents = v.directory.Contents()
 	operatorConfig, err := loadOperatorConfig(v.directory, v.clock)
@@ -148,9 +153,9 @@
 		v.operatorConfig = operatorConfig
 	}
 	profiles := applyOperatorConfig(&v.contents, v.operatorConfig)
-	v.roster.Update(&v.contents, now)
+	v.tracker.Update(&v.contents, now)
 	table := steer.NewTable(&steer.Input{
-		Contents: v.contents, Revision: v.directory.At(), Roster: v.roster, Self: v.self, Limits: v.limits, Profiles: profiles,
+		Contents: v.contents, Revision: v.directory.At(), Roster: v.tracker, Self: v.self, Limits: v.limits, Profiles: profiles,
 	}, v.router.Table(), now)
 	v.router.SetTable(table)
 	v.log.Event("view").Int("revision", int64(v.directory.At())).Int("config", int64(table.Version)).
@@ -167,19 +172,20 @@
 	v.recordStoreFailure(when)
 }
 
+// recordStoreFailure is RecordStoreFailure for a caller that holds mu.
 func (v *View) recordStoreFailure(when time.Time) {
 	if when.After(v.storeFailure) {
 		v.storeFailure = when
-		v.roster.Trouble(when)
+		v.tracker.Trouble(when)
 	}
 }
 
-// Since returns a snapshot for a peer that is complete up to the given revision, and
-// the start of the read of the store that the snapshot reflects.
+// Since returns the snapshot that a peer needs whose view is complete up to
+// revision, and the start of the read of the store that the snapshot reflects.
 func (v *View) Since(revision carawaycart.StoreRevision) (directory.Copy, time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	snapshot := v.directory.Since(revision)
-	snapshot.Ended = v.roster.Ended()
+	snapshot.Ended = v.tracker.Ended()
 	return snapshot, v.confirmed
 }
