--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	maxBufferBytes    = 32 << 10
-	maxLinesPerSecond = 40
-	flushPeriod       = 250 * time.Millisecond
+	maxBufferBytes    = 32 << 10               // size from which the buffer accepts no further line
+	maxLinesPerSecond = 40                     // quota of each kind of event
+	flushPeriod       = 250 * time.Millisecond // shortest time between writes
 	timestampFormat   = "2006-01-02T15:04:05.000Z"
 )
 
@@ -22,14 +22,14 @@
 type Log struct {
 	instance carawaycart.InstanceID
 	out      io.Writer
-	wake     chan struct{}
-	stop     chan struct{}
+	wake     chan struct{} // signaled when a line is complete
+	stop     chan struct{} // closed by Close
 	done     sync.WaitGroup
 
 	mu     sync.Mutex
-	buf    []byte
-	spare  []byte
-	quotas map[string]*quota
+	buf    []byte            // lines that are not written yet
+	spare  []byte            // buffer of the last write, to be reused; nil during a write
+	quotas map[string]*quota // by kind of event
 }
 
 // quota limits the lines per second of one kind of event.
@@ -92,8 +92,9 @@
 	log *Log
 }
 
-// Event begins a line for an event of the given kind. It locks the log until End
-// is called on the line. It returns nil if the line is omitted.
+// Event begins a line for an event of the given kind. It returns nil if the line is
+// omitted. Otherwise the log stays locked until End is called on the line, which the
+// caller must do.
 func (l *Log) Event(kind string) *Line {
 	if l == nil {
 		return nil
@@ -128,77 +129,79 @@
 }
 
 // End completes the line and unlocks the log.
-func (e *Line) End() {
-	if e == nil {
+func (l *Line) End() {
+	if l == nil {
 		return
 	}
-	e.log.buf = append(e.log.buf, '\n')
-	e.log.mu.Unlock()
+	l.log.buf = append(l.log.buf, '\n')
+	l.log.mu.Unlock()
 	select {
-	case e.log.wake <- struct{}{}:
+	case l.log.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (e *Line) key(name string) {
-	e.log.buf = append(e.log.buf, ' ')
-	e.log.buf = append(e.log.buf, name...)
-	e.log.buf = append(e.log.buf, '=')
+// beginField begins a field with the given name.
+func (l *Line) beginField(name string) {
+	l.log.buf = append(l.log.buf, ' ')
+	l.log.buf = append(l.log.buf, name...)
+	l.log.buf = append(l.log.buf, '=')
 }
 
 // Text adds a string field. The value is quoted if it contains spaces, control
 // characters, quotes, equal signs or bytes outside ASCII.
-func (e *Line) Text(name, value string) *Line {
-	if e == nil {
+func (l *Line) Text(name, value string) *Line {
+	if l == nil {
 		return nil
 	}
-	e.key(name)
+	l.beginField(name)
 	for i := range len(value) {
 		if c := value[i]; c <= ' ' || c == '"' || c == '=' || c >= 0x7f {
-			e.log.buf = strconv.AppendQuote(e.log.buf, value)
-			return e
+			l.log.buf = strconv.AppendQuote(l.log.buf, value)
+			return l
 		}
 	}
-	e.log.buf = append(e.log.buf, value...)
-	return e
+	l.log.buf = append(l.log.buf, value...)
+	return l
 }
 
 // Int adds an integer field.
-func (e *Line) Int(name string, value int64) *Line {
-	if e == nil {
+func (l *Line) Int(name string, value int64) *Line {
+	if l == nil {
 		return nil
 	}
-	e.key(name)
-	e.log.buf = strconv.AppendInt(e.log.buf, value, 10)
-	return e
+	l.beginField(name)
+	l.log.buf = strconv.AppendInt(l.log.buf, value, 10)
+	return l
 }
 
 // Bool adds a Boolean field.
-func (e *Line) Bool(name string, value bool) *Line {
-	return e.Text(name, strconv.FormatBool(value))
+func (l *Line) Bool(name string, value bool) *Line {
+	return l.Text(name, strconv.FormatBool(value))
 }
 
 // Millis adds a duration in milliseconds, rounded down.
-func (e *Line) Millis(name string, d time.Duration) *Line { return e.Int(name, d.Milliseconds()) }
+func (l *Line) Millis(name string, d time.Duration) *Line { return l.Int(name, d.Milliseconds()) }
 
-// Flow adds the caller's address as flow and the service's address as service.
-func (e *Line) Flow(k *carawaycart.FlowKey) *Line {
-	if e == nil {
+// Flow adds the flow at k in two fields: "flow" is the address of its caller, and
+// "service" that of its service.
+func (l *Line) Flow(k *carawaycart.FlowKey) *Line {
+	if l == nil {
 		return nil
 	}
-	return e.addrPort("flow", k.Caller).addrPort("service", k.Service)
+	return l.addrPort("flow", k.Caller).addrPort("service", k.Service)
 }
 
-func (e *Line) addrPort(name string, a netip.AddrPort) *Line {
-	e.key(name)
-	e.log.buf = a.AppendTo(e.log.buf)
-	return e
+func (l *Line) addrPort(name string, a netip.AddrPort) *Line {
+	l.beginField(name)
+	l.log.buf = a.AppendTo(l.log.buf)
+	return l
 }
 
-// Err adds the text of err as error. It adds nothing if err is nil.
-func (e *Line) Err(err error) *Line {
-	if e == nil || err == nil {
-		return e
+// Err adds the text of err in the field "error". It adds nothing if err is nil.
+func (l *Line) Err(err error) *Line {
+	if l == nil || err == nil {
+		return l
 	}
-	return e.Text("error", err.Error())
+	return l.Text("error", err.Error())
 }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -10,6 +10,7 @@
 	"carawaycart/internal/eventlog"
 )
 
+// Guards against a change of the format, which tools of operators read.
 func TestLineFormat(t *testing.T) {
 	var out bytes.Buffer
 	l := eventlog.New("a", &out)
@@ -50,7 +51,9 @@
 	}
 }
 
-func TestOmittedLinesAreCounted(t *testing.T) {
+// Guards against a frequent kind of event that fills the log, or that uses up the
+// quota of another kind.
+func TestQuotaOfEachKindOfEvent(t *testing.T) {
 	var out bytes.Buffer
 	l := eventlog.New("a", &out)
 	for range 5000 {
@@ -66,6 +69,7 @@
 	}
 }
 
+// Guards against a panic in a component that was given no log.
 func TestNilLogDiscardsEvents(*testing.T) {
 	var l *eventlog.Log
 	l.Event("placed").Int("n", 1).Text("a", "b").End()
