--- a/core/steer/admission.go
+++ b/core/steer/admission.go
@@ -12,85 +12,108 @@
 )
 
 const (
-	// slowWindow is the time between changes of the level. The queue of an
-	// endpoint turns over in about twice as long.
+	// slowWindow is the minimum time between changes of Admission.refusedShare. An
+	// endpoint takes about twice as long to process the requests in its queue.
 	slowWindow = 50 * time.Millisecond
-	// lateWindow is the time between changes of the urgent level; most answers
-	// take less.
+	// lateWindow is the minimum time between changes of
+	// Admission.urgentRefusedShare; most answers take less.
 	lateWindow = 200 * time.Millisecond
-	// maxWindow is the time after which a window ends even with too few answers
-	// for its share to be meaningful.
+	// maxWindow is the age at which a window ends even with too few answers for
+	// its share of bad ones to be meaningful; the share then counts as zero.
 	maxWindow      = 500 * time.Millisecond
-	minSlowAnswers = 5 // answers in a window that are needed to detect an overload
-	minLateAnswers = 8 // answers to urgent requests in a window that are needed to detect an overload
+	minSlowAnswers = 5 // minimum number of answers in a slowWindow for a meaningful share
+	minLateAnswers = 8 // minimum number of answers in a lateWindow for a meaningful share
 
-	overloadShare     = 0.35 // share of slow answers above which the endpoints are overloaded
-	underloadShare    = 0.15 // share of slow answers below which the endpoints have spare capacity
-	slowSmoothing     = 0.5  // weight of the earlier windows in the smoothed share of slow answers
-	levelIncrease     = 0.15 // added to the level after a window with overload
-	levelGain         = 1.3  // also added, multiplied by the share beyond overloadShare
-	levelDecrease     = 0.03 // subtracted from the level after a window without overload
-	underloadDecrease = 0.15 // subtracted from the level after a window with spare capacity
+	overloadShare = 0.35 // share of slow answers above which the endpoints are overloaded
+	// underloadShare is the share of slow answers below which the endpoints have
+	// spare capacity.
+	underloadShare = 0.15
+	slowSmoothing  = 0.5 // weight of the earlier windows in Admission.slowShare
 
-	lateShare      = 0.4  // share of late answers to urgent requests above which some of these are refused too
-	urgentGain     = 0.25 // added to the urgent level, multiplied by the share beyond lateShare
-	urgentDecrease = 0.1  // subtracted from the urgent level otherwise
+	// After every slowWindow, Admission.refusedShare grows or shrinks. Above
+	// overloadShare, it grows by refusalIncrease and by refusalGain for each unit of
+	// the share of slow answers beyond overloadShare. Below underloadShare, it
+	// shrinks by underloadRefusalDecrease, and in between by refusalDecrease.
+	refusalIncrease          = 0.15
+	refusalGain              = 1.3
+	refusalDecrease          = 0.03
+	underloadRefusalDecrease = 0.15
 
-	// Answers within these percentages of the baseline are not slow or late,
-	// unless they exceed the target by more than acknowledgementDelay.
-	slowPercent = 140
-	latePercent = 200
-	// acknowledgementDelay is the time until an answer is acknowledged: Linux
-	// delays acknowledgements by 40 ms, and a round trip is added.
+	// lateShare is the share of late answers to the most urgent requests above which
+	// some of their flows are refused too. After every lateWindow,
+	// Admission.urgentRefusedShare grows by urgentRefusalGain for each unit beyond
+	// lateShare, or else shrinks by urgentRefusalDecrease.
+	lateShare             = 0.4
+	urgentRefusalGain     = 0.25
+	urgentRefusalDecrease = 0.1
+
+	// Answer times up to these percentages of the baseline of their class are not
+	// slow or late, as long as they exceed the target by no more than
+	// acknowledgementDelay.
+	slowBaselinePercent = 140
+	lateBaselinePercent = 200
+	// acknowledgementDelay bounds the time between an answer and its acknowledgement,
+	// which is what an instance observes: Linux delays acknowledgements by 40 ms, and
+	// a round trip is added.
 	acknowledgementDelay = 50 * time.Millisecond
 
-	maxUrgentRefused = 0.95        // bounds the refused share of the most urgent class, so that the end of an overload is detected
-	refusalPeriod    = time.Second // time during which all flows of a caller are refused or admitted alike
-	minTrafficShare  = 0.05        // share of the new flows above which a class can be the most urgent one
+	// maxUrgentRefusedShare bounds the refused share of the most urgent class. The
+	// end of an overload can only be detected from the answers to admitted flows.
+	maxUrgentRefusedShare = 0.95
+	refusalPeriod         = time.Second // time for which the hashFraction of a caller stays the same
+	// minTrafficShare is the share of the new flows above which a class can be the
+	// most urgent one.
+	minTrafficShare = 0.05
 
-	baselineAnswers        = 32               // number of answers whose mean is the first baseline
-	baselinePeriod         = 5 * time.Second  // time over which the baseline is averaged
-	refusingBaselinePeriod = 30 * time.Second // the same for answers above the baseline while flows are refused
-	arrivalDecay           = 0.95             // factor applied to the counts of new flows after every slow window
-	overloadReportPeriod   = time.Second      // time between reports of a lasting overload
+	baselineAnswers = 32              // number of answers whose mean is the first baseline
+	baselinePeriod  = 5 * time.Second // time over which the baseline is averaged
+	// refusingBaselinePeriod replaces baselinePeriod for answer times above the
+	// baseline while flows are refused.
+	refusingBaselinePeriod = 30 * time.Second
+	arrivalDecay           = 0.95        // factor applied to the counts of new flows after every slowWindow
+	overloadReportPeriod   = time.Second // minimum time between reports of a lasting overload
 )
 
 // Admission decides which new flows of a service are refused while its endpoints
 // cannot answer in time. It is safe for concurrent use; the zero value admits all
 // flows.
 //
-// A request is slow once it has waited beyond the midpoint between the baseline
-// and its target, answered or not. While many requests are slow, a growing share
-// of the new flows is refused, the least urgent first, as in F. Zhou et al.,
-// "Overload Control for Scaling WeChat Microservices", SoCC 2018. The share rises
-// quickly and falls slowly: a long flow that is admitted keeps sending requests,
-// which cannot be refused later. Flows of the most urgent class are refused only if
-// answers to its own requests are late, and in smaller steps.
+// Requests of equal priority form a class. The baseline of a class is the mean time
+// of its answers without overload, and the target is the time within which its
+// requests should be answered. A request is slow, answered or not, once it has
+// waited for about the midpoint between baseline and target. While many requests are
+// slow, a growing share of the new flows is refused, the least urgent first, as in F.
+// Zhou et al., "Overload Control for Scaling WeChat Microservices", SoCC 2018. The
+// share rises quickly and falls slowly: a long flow that is admitted keeps sending
+// requests, which cannot be refused later. While there are new flows of less urgent
+// classes, those of the most urgent class are refused only if answers to its own
+// requests are late, which is beyond the target, and in smaller steps.
 type Admission struct {
-	mu          sync.Mutex
-	slow        answerWindow // answers to all requests
-	late        answerWindow // answers to the most urgent requests
-	slowShare   float64      // smoothed share of slow answers
-	level       float64      // share of the less urgent flows that is refused
-	urgentLevel float64      // share of the most urgent flows that is refused
-	classes     []class      // ordered from the least urgent
-	answerTimes timeoutEstimator
-	reportedAt  time.Time // when the state was last reported
-	refusing    bool      // whether flows were refused at reportedAt
+	mu                 sync.Mutex
+	slow               answerWindow     // all requests; slow ones are bad
+	late               answerWindow     // requests of the most urgent class; late ones are bad
+	slowShare          float64          // share of slow answers, smoothed over the windows
+	refusedShare       float64          // share of the new flows of the less urgent classes that is refused
+	urgentRefusedShare float64          // share of the new flows of the most urgent class that is refused
+	classes            []class          // ordered by urgency, the least urgent first
+	answerTimes        timeoutEstimator // times of all answers, from which answerTimeout is estimated
+	reportedAt         time.Time        // when report last returned true
+	refusing           bool             // whether flows were refused at reportedAt
 }
 
-// class holds the measurements of the requests of one priority.
+// class holds the measurements of the requests of one priority and the resulting
+// share of refusals.
 type class struct {
 	priority  int           // zero is the most urgent
 	baseline  time.Duration // mean answer time without overload; zero if unknown
 	answers   int           // number of answers that the baseline is based on, up to baselineAnswers
 	updatedAt time.Time     // when the baseline was last updated
-	arrivals  float64       // decayed count of new flows
+	arrivals  float64       // decayed count of new flows, including refused ones
 	refused   float64       // share of the new flows that is refused
 }
 
-// answerWindow counts the answers of one measuring window and the bad ones among
-// them, which are slow or late.
+// answerWindow counts the answers that were recorded since start and the bad ones
+// among them. An unanswered request that is slow counts as a bad answer.
 type answerWindow struct {
 	start   time.Time
 	answers int
@@ -125,8 +148,8 @@
 	return a.answerTimes.timeout(initialAnswerTimeout, minAnswerTimeout, maxAnswerTimeout)
 }
 
-// class returns the class of priority and adds it if it is new. The pointer is valid
-// until the next class is added.
+// class returns the class with the given priority and adds it if it is new. The
+// pointer is valid until the next class is added. The caller holds mu.
 func (a *Admission) class(priority int) *class {
 	i, ok := slices.BinarySearchFunc(a.classes, priority, func(c class, p int) int { return cmp.Compare(p, c.priority) })
 	if !ok {
@@ -142,17 +165,19 @@
 		return target
 	}
 	midpoint := min(c.baseline+(target-c.baseline)/2, target)
-	return max(midpoint, min(c.baseline*slowPercent/100, target+acknowledgementDelay))
+	return max(midpoint, min(c.baseline*slowBaselinePercent/100, target+acknowledgementDelay))
 }
 
 // lateThreshold returns the answer time above which a request of c with the given
 // target is late. It may exceed the target if the baseline does, since an answer is
 // only observed when it is acknowledged.
 func (c *class) lateThreshold(target time.Duration) time.Duration {
-	return max(target, min(c.baseline*latePercent/100, target+acknowledgementDelay))
+	return max(target, min(c.baseline*lateBaselinePercent/100, target+acknowledgementDelay))
 }
 
-// SlowThreshold returns the answer time above which a request is slow.
+// SlowThreshold returns the answer time above which a request of the given priority
+// and target is slow. It is the target if no request of this priority was answered
+// yet.
 func (a *Admission) SlowThreshold(priority int, target time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -167,8 +192,9 @@
 	a.slow.record(true)
 }
 
-// RecordAnswer records at now that a request with the given target was answered
-// after took. Slow reports whether RecordSlow was called for the request before.
+// RecordAnswer records at now that a request of the given priority and target was
+// answered after the time took. The argument slow tells whether RecordSlow was called
+// for the request before.
 func (a *Admission) RecordAnswer(priority int, took, target time.Duration, slow bool, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -181,13 +207,13 @@
 	if priority <= a.classes[a.mostUrgent()].priority {
 		a.late.record(took > c.lateThreshold(target))
 	}
-	c.updateBaseline(took, a.level > 0, now)
+	c.updateBaseline(took, a.refusedShare > 0, now)
 }
 
 // updateBaseline adds an answer time to the baseline at now. The first
 // baselineAnswers times are averaged with equal weight, later ones exponentially
-// over baselinePeriod. While flows are refused, times above the baseline get little
-// weight, since they reflect the overload.
+// over baselinePeriod. While flows are refused, these get little weight if they exceed
+// the baseline, since they reflect the overload.
 func (c *class) updateBaseline(took time.Duration, refusing bool, now time.Time) {
 	period := baselinePeriod
 	if refusing && took > c.baseline {
@@ -204,14 +230,14 @@
 	}
 }
 
-// closeWindows evaluates the windows that have ended at now and adjusts the shares
-// of refused flows.
+// closeWindows ends the windows that are due at now, and adjusts the shares of refused
+// flows by the shares of bad answers in them. The caller holds mu.
 func (a *Admission) closeWindows(now time.Time) {
 	if late, ended := a.late.finish(now, lateWindow, minLateAnswers); ended {
 		if late > lateShare {
-			a.urgentLevel = min(a.urgentLevel+urgentGain*(late-lateShare), maxUrgentRefused)
+			a.urgentRefusedShare = min(a.urgentRefusedShare+urgentRefusalGain*(late-lateShare), maxUrgentRefusedShare)
 		} else {
-			a.urgentLevel = max(a.urgentLevel-urgentDecrease, 0)
+			a.urgentRefusedShare = max(a.urgentRefusedShare-urgentRefusalDecrease, 0)
 		}
 	}
 	slowShare, ended := a.slow.finish(now, slowWindow, minSlowAnswers)
@@ -221,11 +247,11 @@
 	a.slowShare = slowSmoothing*a.slowShare + (1-slowSmoothing)*slowShare
 	switch {
 	case a.slowShare > overloadShare:
-		a.level = min(a.level+levelIncrease+levelGain*(a.slowShare-overloadShare), 1)
+		a.refusedShare = min(a.refusedShare+refusalIncrease+refusalGain*(a.slowShare-overloadShare), 1)
 	case a.slowShare < underloadShare:
-		a.level = max(a.level-underloadDecrease, 0)
+		a.refusedShare = max(a.refusedShare-underloadRefusalDecrease, 0)
 	default:
-		a.level = max(a.level-levelDecrease, 0)
+		a.refusedShare = max(a.refusedShare-refusalDecrease, 0)
 	}
 	a.allocateRefusals()
 	for i := range a.classes {
@@ -233,8 +259,9 @@
 	}
 }
 
-// mostUrgent returns the index of the most urgent class that has more than
-// minTrafficShare of the new flows, or zero if there is none.
+// mostUrgent returns the index in classes of the most urgent class that has more than
+// minTrafficShare of the new flows. It returns zero, the least urgent, if there is
+// none. Even more urgent classes with less traffic are treated like it.
 func (a *Admission) mostUrgent() int {
 	total := 0.0
 	for i := range a.classes {
@@ -248,35 +275,37 @@
 	return 0
 }
 
-// allocateRefusals sets the share of new flows that each class refuses.
+// allocateRefusals sets the refused share of each class. Of the new flows of the
+// classes below the most urgent one, refusedShare is refused in total, the least urgent
+// first. Without any such flows, refusedShare applies to the most urgent class.
 func (a *Admission) allocateRefusals() {
 	if len(a.classes) == 0 {
 		return
 	}
 	mostUrgent := a.mostUrgent()
-	below := 0.0
+	lessUrgent := 0.0
 	for i := range mostUrgent {
-		below += a.classes[i].arrivals
+		lessUrgent += a.classes[i].arrivals
 	}
-	rest := a.level * below
+	remaining := a.refusedShare * lessUrgent
 	for i := range a.classes {
 		c := &a.classes[i]
 		switch {
 		case i < mostUrgent && c.arrivals > 0:
-			c.refused = min(rest/c.arrivals, 1)
-			rest = max(rest-c.arrivals, 0)
+			c.refused = min(remaining/c.arrivals, 1)
+			remaining = max(remaining-c.arrivals, 0)
 		case i < mostUrgent:
 			c.refused = 0
-		case below == 0:
-			c.refused = min(a.level, maxUrgentRefused)
+		case lessUrgent == 0:
+			c.refused = min(a.refusedShare, maxUrgentRefusedShare)
 		default:
-			c.refused = a.urgentLevel
+			c.refused = a.urgentRefusedShare
 		}
 	}
 }
 
 // Refuses reports whether a new flow of caller with requests of the given priority
-// is refused at now, and counts the flow.
+// is refused at now. It counts the flow as one of the new flows of its class.
 func (a *Admission) Refuses(caller carawaycart.FlowKey, priority int, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -286,35 +315,36 @@
 	return c.refused > 0 && hashFraction(caller, now) < c.refused
 }
 
-// hashFraction returns a number in [0, 1) that is the same for all flows of a caller
-// within refusalPeriod, so that its retries do not displace the flows of others.
+// hashFraction returns a number in [0, 1) that is the same for all flows from an IPv4
+// address within each refusalPeriod. A caller that retries a refused flow is thus
+// refused again, instead of displacing the flows of others.
 func hashFraction(k carawaycart.FlowKey, now time.Time) float64 {
 	address := k.Caller.Addr().As4()
 	period := uint64(now.UnixNano()) / uint64(refusalPeriod)
-	h := xxhash.Sum64(address[:]) ^ period*0x9e3779b97f4a7c15
-	h *= 0xff51afd7ed558ccd // the finalizer of MurmurHash3
+	h := xxhash.Sum64(address[:]) ^ period*0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
+	h *= 0xff51afd7ed558ccd                                   // a step of the finalizer of MurmurHash3
 	h ^= h >> 33
 	return float64(h>>11) / (1 << 53)
 }
 
-// Overload describes how many new flows of a service are refused.
+// Overload is the state of the Admission of a service.
 type Overload struct {
 	Service carawaycart.ServiceID
-	Slow    float64 // share of the requests that are slow
-	Level   float64 // share of the less urgent flows that is refused
-	Urgent  float64 // share of the most urgent flows that is refused
+	Slow    float64 // share of the requests that are slow, smoothed
+	Level   float64 // share of the new flows of the less urgent classes that is refused
+	Urgent  float64 // share of the new flows of the most urgent class that is refused
 }
 
-// report returns the state at now and whether it is to be reported to the observer,
-// which is the case when refusals begin or end and every overloadReportPeriod in
-// between.
+// report returns the state of a, without Service, and whether it is to be reported to
+// the observer at now: when refusals begin or end, and every overloadReportPeriod in
+// between. If it is not, the state is zero.
 func (a *Admission) report(now time.Time) (Overload, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	refusing := a.level > 0 || a.urgentLevel > 0
+	refusing := a.refusedShare > 0 || a.urgentRefusedShare > 0
 	if refusing == a.refusing && (!refusing || now.Sub(a.reportedAt) < overloadReportPeriod) {
 		return Overload{}, false
 	}
 	a.refusing, a.reportedAt = refusing, now
-	return Overload{Slow: a.slowShare, Level: a.level, Urgent: a.urgentLevel}, true
+	return Overload{Slow: a.slowShare, Level: a.refusedShare, Urgent: a.urgentRefusedShare}, true
 }
--- a/core/steer/admission_test.go
+++ b/core/steer/admission_test.go
@@ -12,11 +12,13 @@
 
 var epoch = time.Unix(1000, 0)
 
+// The tests send two kinds of requests: feeds, and orders, which are more urgent.
 const (
 	feedPriority  = 2
 	orderPriority = 1
 )
 
+// caller returns the key of a flow from the n-th caller.
 func caller(n int) carawaycart.FlowKey {
 	return carawaycart.FlowKey{Caller: netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(n >> 8), byte(n)}), 1000)}
 }
@@ -69,8 +71,8 @@
 }
 
 // Guards against lasting refusals after an instance starts while endpoints still
-// reject the load left behind by a loss of all instances. The quick rejections are
-// then the first answers to enter the baseline.
+// reject the load that built up while all instances were down. The quick rejections
+// are then the first answers in the baseline and make it too short.
 func TestAdmissionBaselineRecoversFromRejections(t *testing.T) {
 	const (
 		period     = 40 * time.Millisecond // time between answers
@@ -98,8 +100,8 @@
 	}
 }
 
-// Guards against refusals without overload, if the target of a route is shorter than
-// the baseline because callers acknowledge late.
+// Guards against refusals without overload when the target of a route is shorter than
+// the baseline, which includes the time until callers acknowledge an answer.
 func TestAdmissionWithTargetsBelowBaseline(t *testing.T) {
 	for _, target := range []time.Duration{30 * time.Millisecond, 50 * time.Millisecond, 60 * time.Millisecond, 70 * time.Millisecond} {
 		random := rand.New(rand.NewPCG(4, 4))
@@ -121,7 +123,8 @@
 	}
 }
 
-// Guards against refusals that go on without any answers: the load is unknown then.
+// Guards against refusals that never end because no answers arrive any more. The load
+// is then unknown.
 func TestAdmissionDecaysWithoutAnswers(t *testing.T) {
 	a := &Admission{}
 	now := epoch
@@ -138,6 +141,7 @@
 	}
 }
 
+// Guards against a caller that gets in by retrying a refused flow from another port.
 func TestAdmissionDecidesRetriesConsistently(t *testing.T) {
 	a := &Admission{
 		classes: []class{{priority: feedPriority, refused: 0.5}},
@@ -159,12 +163,13 @@
 }
 
 // queue models the endpoints of a service: slots that process requests in order of
-// arrival, with a bounded queue.
+// arrival. It rejects a request that would have to wait longer than maxWait.
 type queue struct {
-	freeAt finishTimes // when each slot becomes free
-	limit  time.Duration
+	freeAt  finishTimes // when each slot becomes free
+	maxWait time.Duration
 }
 
+// finishTimes is a heap of times, the earliest first.
 type finishTimes []time.Duration
 
 func (f finishTimes) Len() int           { return len(f) }
@@ -173,11 +178,11 @@
 func (f *finishTimes) Push(x any)        { *f = append(*f, x.(time.Duration)) }
 func (f *finishTimes) Pop() any          { old := *f; x := old[len(old)-1]; *f = old[:len(old)-1]; return x }
 
-// serve returns when a request that arrives at at is answered, or false if the queue
-// is full.
+// serve returns when a request is answered that arrives at at and is processed for the
+// time work. It returns false if the request is rejected.
 func (q *queue) serve(at, work time.Duration) (time.Duration, bool) {
 	begin := max(q.freeAt[0], at)
-	if begin-at > q.limit {
+	if begin-at > q.maxWait {
 		return 0, false
 	}
 	heap.Pop(&q.freeAt)
@@ -191,9 +196,11 @@
 	priority             int
 }
 
-// replay offers load to 28 slots for 6 s: orders of value 2 and feeds of value 1, each
-// on a new flow. It returns the share of the value that is answered in time.
-func replay(load float64, control bool) float64 {
+// replayBurst sends requests to 28 slots for 6 s: orders of value 2 and feeds of value
+// 1, each on a new flow. The load is a multiple of the capacity of the slots, and
+// control tells whether an Admission may refuse flows. It returns the share of the
+// value that is answered within its target.
+func replayBurst(load float64, control bool) float64 {
 	const (
 		slots       = 28
 		feedWork    = 30 * time.Millisecond
@@ -202,11 +209,11 @@
 		orderTarget = 200 * time.Millisecond
 		orderShare  = 0.22
 		span        = 6 * time.Second
-		queueLimit  = 170 * time.Millisecond // 8 requests in the queue of 2 slots, with some spread
+		queueLimit  = 170 * time.Millisecond // about the time for 8 queued requests at 2 slots, whose times vary
 	)
 	perSecond := load * slots / ((1-orderShare)*feedWork.Seconds() + orderShare*orderWork.Seconds())
 	random := rand.New(rand.NewPCG(7, 7))
-	q := &queue{freeAt: make(finishTimes, slots), limit: queueLimit}
+	q := &queue{freeAt: make(finishTimes, slots), maxWait: queueLimit}
 	a := &Admission{}
 	var underway []answer
 	offered, inTime := 0.0, 0.0
@@ -236,11 +243,11 @@
 	return inTime / offered
 }
 
-// Guards against a collapse under bursts beyond the capacity of the endpoints, on new
-// flows. Without refusals nearly every answer waits in a full queue and is late.
+// Guards against late answers to nearly all requests when a burst of new flows exceeds
+// the capacity of the endpoints. Without refusals, requests wait in full queues.
 func TestAdmissionUnderBursts(t *testing.T) {
 	for _, load := range []float64{0.6, 0.9, 1.2, 1.5, 2.5} {
-		got, without := replay(load, true), replay(load, false)
+		got, without := replayBurst(load, true), replayBurst(load, false)
 		want := 0.95
 		if load > 1 {
 			want = 2.0 / 3 / load // two thirds of the capacity of the slots
@@ -254,22 +261,20 @@
 	}
 }
 
-// longFlows replays a burst on flows that stay open: each feed opens a flow with its
-// first request and then sends one request per second, whatever the load. Orders
-// arrive on new flows. Each of several instances sees a part of the callers.
+// longFlows is the state of replayLongFlows.
 type longFlows struct {
 	random  *rand.Rand
 	queue   *queue
 	fleet   []*Admission
-	due     map[int][]func(now time.Time) // callbacks by millisecond
-	offered float64
-	inTime  float64
+	due     map[int][]func(now time.Time) // callbacks by the millisecond in which they are called
+	offered float64                       // value of the requests that were sent or refused
+	inTime  float64                       // value of the requests that were answered within their targets
 }
 
 // send sends a request through a at the given millisecond and schedules the reports
-// of its answer to a. The instance observes the answer after the additional delay
-// acknowledged.
-func (l *longFlows) send(a *Admission, ms, priority int, value float64, work, target, acknowledged time.Duration) {
+// of its answer to a. The instance observes the answer ackDelay later, when the caller
+// acknowledges it.
+func (l *longFlows) send(a *Admission, ms, priority int, value float64, work, target, ackDelay time.Duration) {
 	at := time.Duration(ms) * time.Millisecond
 	done, ok := l.queue.serve(at, time.Duration(l.random.ExpFloat64()*float64(work)))
 	if !ok {
@@ -277,7 +282,7 @@
 	} else if done-at <= target {
 		l.inTime += value
 	}
-	took := done - at + acknowledged
+	took := done - at + ackDelay
 	limit := a.SlowThreshold(priority, target)
 	slow := took > limit
 	if slow {
@@ -286,25 +291,31 @@
 	l.schedule(at+took, func(now time.Time) { a.RecordAnswer(priority, took, target, slow, now) })
 }
 
+// schedule adds do to the callbacks of the millisecond that contains when.
 func (l *longFlows) schedule(when time.Duration, do func(time.Time)) {
 	ms := int(when / time.Millisecond)
 	l.due[ms] = append(l.due[ms], do)
 }
 
-// replayLongFlows returns the share of the value that is answered in time during 6 s
-// of burst times the normal load, which takes 47% of the slots.
+// replayLongFlows replays a burst on flows that stay open: each feed opens a flow with
+// its first request and then sends one request per second, whatever the load. Orders
+// arrive on new flows. Each of several instances sees a part of the callers.
+//
+// It returns the share of the value that is answered within its target during 6 s of
+// burst times the normal load, which occupies 47% of the slots. The argument control
+// tells whether flows may be refused.
 func replayLongFlows(burst float64, control bool) float64 {
 	const (
 		instances, slots        = 14, 28
 		feeds, orders           = 320, 91 // per second
 		feedWork, orderWork     = 30 * time.Millisecond, 39 * time.Millisecond
 		feedTarget, orderTarget = 150 * time.Millisecond, 200 * time.Millisecond
-		feedReceipt, roundTrip  = 46 * time.Millisecond, 6 * time.Millisecond
+		feedAckDelay, roundTrip = 46 * time.Millisecond, 6 * time.Millisecond
 		queueLimit              = 130 * time.Millisecond
 		begin, end, sendPeriod  = 4000, 10000, 1000 // start and end of the burst and period of a feed's requests, in milliseconds
 	)
 	l := &longFlows{
-		random: rand.New(rand.NewPCG(5, 5)), queue: &queue{freeAt: make(finishTimes, slots), limit: queueLimit}, due: make(map[int][]func(time.Time)),
+		random: rand.New(rand.NewPCG(5, 5)), queue: &queue{freeAt: make(finishTimes, slots), maxWait: queueLimit}, due: make(map[int][]func(time.Time)),
 	}
 	for range instances {
 		l.fleet = append(l.fleet, &Admission{})
@@ -340,7 +351,7 @@
 				continue
 			}
 			f.open = true
-			l.send(f.admission, ms, feedPriority, 1, feedWork, feedTarget, feedReceipt)
+			l.send(f.admission, ms, feedPriority, 1, feedWork, feedTarget, feedAckDelay)
 		}
 		for range poisson(l.random, perSecond/1000) {
 			l.offered += 2
@@ -364,8 +375,8 @@
 	return n
 }
 
-// Guards against a level that rises too slowly under a burst on flows that stay open:
-// flows admitted before the overload is detected cannot be refused later.
+// Guards against refusals that increase too slowly under a burst on flows that stay
+// open: flows admitted before the overload is detected cannot be refused later.
 func TestAdmissionUnderBurstsOnLongFlows(t *testing.T) {
 	for _, test := range []struct{ burst, want float64 }{{1.7, 0.97}, {2.6, 0.75}, {4, 0.45}} {
 		got, without := replayLongFlows(test.burst, true), replayLongFlows(test.burst, false)
--- a/core/steer/candidate.go
+++ b/core/steer/candidate.go
@@ -1,26 +1,29 @@
 package steer
 
-// Candidate is the state of an endpoint on which the placement of a new flow depends.
+// Candidate is the state of an endpoint that decides whether it gets a new flow.
 type Candidate struct {
-	Outstanding int  // requests and first packets without an answer
-	Open        int  // open flows
-	Slots       int  // requests that it processes concurrently
-	SameZone    bool // whether it is in the zone of the instance
-	Avoided     bool // whether a packet to it was unanswered recently
+	Outstanding int  // number of requests and first packets that wait for an answer
+	Open        int  // number of open flows
+	Slots       int  // number of requests that it processes concurrently
+	SameZone    bool // whether it is in the zone of the instance that places the flow
+	// Avoided reports whether packets to it were unanswered lately. After a time, it
+	// is avoided only while a first packet to it waits for an answer.
+	Avoided     bool
 	Silent      bool // whether it answers neither packets nor probes
-	Failing     bool // whether it leaves too many requests unanswered
+	Failing     bool // whether it recently left too many requests unanswered
 	Tried       bool // whether the first packet of this flow was sent to it before
-	Lapsed      bool // whether its entry is temporarily missing
-	Cold        bool // whether it is cold or still warming up
-	Full        bool // whether it is cold and at its limit of new flows
+	Lapsed      bool // whether its entry is absent from the store, which does not yet prove that it ended
+	Cold        bool // whether it is cold, or warming up after that
+	AtColdLimit bool // whether it is cold and has got its share of new flows from this instance
 }
 
-// Weights of the terms of a candidate's cost, in outstanding requests per slot.
+// Weights of the terms of a candidate's cost. The unit of cost is one outstanding
+// request per slot.
 const (
-	openWeight   = 0.08 // an open flow, which sends a request from time to time
-	remoteWeight = 0.6  // another zone: traffic between zones has a cost
-	coldWeight   = 0.5  // a cold endpoint, which is slower than others
-	failWeight   = 4    // a failing endpoint: losing part of the requests is as bad as a queue of this length
+	openWeight    = 0.08 // for each open flow per slot, since it sends a request from time to time
+	remoteWeight  = 0.6  // for an endpoint in another zone, since traffic between zones has a cost
+	coldWeight    = 0.5  // for a cold endpoint, which is slower than others
+	failingWeight = 4    // for a failing endpoint: losing part of the requests is as bad as a queue of this length
 )
 
 // cost returns the cost of placing a new flow at c; lower is better.
@@ -33,15 +36,16 @@
 		cost += coldWeight
 	}
 	if c.Failing {
-		cost += failWeight
+		cost += failingWeight
 	}
 	return cost
 }
 
-// tier returns the tier of c. A lower tier is preferred regardless of cost.
+// tier returns the tier of c. Candidates of a lower tier are preferred, whatever their
+// cost.
 func (c *Candidate) tier() int {
 	switch {
-	case c.Full, c.Silent:
+	case c.AtColdLimit, c.Silent:
 		return tierExcluded
 	case c.Tried:
 		return tierTried
@@ -66,10 +70,11 @@
 	tierExcluded
 )
 
-// Choose returns the index of the candidate that gets a new flow, or -1 if there is
-// none. Silent candidates are excluded: refusing a flow immediately is better than
-// leaving it unanswered, and probes detect when an endpoint answers again. Ties are
-// broken by randomIntN, which returns a random number in [0, n) for its argument n.
+// Choose returns the index of the candidate that gets a new flow: the one with the
+// lowest cost in the lowest tier, or -1 if all are excluded. Silent candidates are
+// excluded, since refusing a flow immediately is better than leaving it unanswered,
+// and probes detect when an endpoint answers again. Ties are broken by randomIntN,
+// which returns a random number in [0, n) for its argument n.
 func Choose(candidates []Candidate, randomIntN func(int) int) int {
 	best, bestTier, bestCost, ties := -1, tierExcluded, 0.0, 0
 	for i := range candidates {
--- a/core/steer/candidate_test.go
+++ b/core/steer/candidate_test.go
@@ -8,6 +8,7 @@
 	"carawaycart/core/steer"
 )
 
+// Checks the order in which candidates are preferred.
 func TestChoose(t *testing.T) {
 	good := steer.Candidate{Slots: 2, SameZone: true}
 	with := func(change func(*steer.Candidate)) steer.Candidate {
@@ -16,12 +17,12 @@
 		return c
 	}
 	busy := with(func(c *steer.Candidate) { c.Outstanding = 1 })
-	full := with(func(c *steer.Candidate) { c.Outstanding = 10 })
+	queued := with(func(c *steer.Candidate) { c.Outstanding = 10 })
 	remote := with(func(c *steer.Candidate) { c.SameZone = false })
 	avoided := with(func(c *steer.Candidate) { c.Avoided = true })
 	silent := with(func(c *steer.Candidate) { c.Silent, c.Avoided = true, true })
 	lapsed := with(func(c *steer.Candidate) { c.Lapsed = true })
-	atLimit := with(func(c *steer.Candidate) { c.Cold, c.Full = true, true })
+	atColdLimit := with(func(c *steer.Candidate) { c.Cold, c.AtColdLimit = true, true })
 	cold := with(func(c *steer.Candidate) { c.Cold = true })
 	failing := with(func(c *steer.Candidate) { c.Failing = true })
 	tried := with(func(c *steer.Candidate) { c.Tried = true })
@@ -31,10 +32,10 @@
 		want       int
 	}{
 		{"no candidates", nil, -1},
-		{"fewest outstanding", []steer.Candidate{full, busy, good}, 2},
+		{"fewest outstanding", []steer.Candidate{queued, busy, good}, 2},
 		{"same zone before another zone", []steer.Candidate{remote, busy}, 1},
-		{"another zone before a long queue", []steer.Candidate{full, remote}, 1},
-		{"long queue before avoided", []steer.Candidate{avoided, full}, 1},
+		{"another zone before a long queue", []steer.Candidate{queued, remote}, 1},
+		{"long queue before avoided", []steer.Candidate{avoided, queued}, 1},
 		{"silent is excluded", []steer.Candidate{silent}, -1},
 		{"lapsed before avoided", []steer.Candidate{avoided, lapsed}, 1},
 		{"avoided before tried", []steer.Candidate{tried, avoided}, 1},
@@ -43,8 +44,8 @@
 		{"cold before avoided", []steer.Candidate{avoided, cold}, 1},
 		{"another zone before failing", []steer.Candidate{failing, remote}, 1},
 		{"failing before avoided", []steer.Candidate{avoided, failing}, 1},
-		{"cold at its limit is excluded", []steer.Candidate{atLimit}, -1},
-		{"silent and cold at its limit are excluded", []steer.Candidate{silent, atLimit}, -1},
+		{"cold at its limit is excluded", []steer.Candidate{atColdLimit}, -1},
+		{"silent and cold at its limit are excluded", []steer.Candidate{silent, atColdLimit}, -1},
 	} {
 		if got := steer.Choose(test.candidates, func(int) int { return 1 }); got != test.want {
 			t.Errorf("%s: got %d, want %d", test.name, got, test.want)
@@ -52,7 +53,7 @@
 	}
 }
 
-// Checks that long-lived flows of a steady load are balanced over equal endpoints.
+// Guards against an uneven distribution of flows that stay open over equal endpoints.
 func TestOpenFlowsSpreadEvenly(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	candidates := make([]steer.Candidate, 14)
--- a/core/steer/cold.go
+++ b/core/steer/cold.go
@@ -9,27 +9,30 @@
 // endpoint.
 const coldWindow = time.Second
 
-// coldMargin extends coldWindow, because varying network delays can move flows
-// closer together.
+// coldMargin extends coldWindow, because varying network delays can make flows arrive
+// closer together than they were forwarded.
 const coldMargin = 150 * time.Millisecond
 
-// coldReserve divides the rate that an endpoint can bear, so that instances whose
-// views of the fleet differ stay within the bound in total.
-const coldReserve = 2
+// coldBoundDivisor divides the rate of new flows that a cold endpoint can bear.
+// Instances that know different members of the fleet thus stay within the rate in
+// total.
+const coldBoundDivisor = 2
 
-// ColdShare limits the new flows that an instance may forward to a cold endpoint.
-// The zero value allows none.
+// ColdShare is the limit of the new flows that one instance may forward to a cold
+// endpoint. The zero value allows none.
 type ColdShare struct {
-	FlowsPerSecond int  // limit within any second
-	Limited        bool // whether the profile of the service sets MaxFlows
-	MaxFlows       int  // limit for the whole time the endpoint is cold, if Limited
+	FlowsPerSecond int  // limit within coldWindow
+	HasMaxFlows    bool // whether the profile of the service sets MaxFlows
+	MaxFlows       int  // limit for the whole time the endpoint is cold, if HasMaxFlows
 }
 
-// NewColdShare returns the share of the instance with the given rank, counted from
-// zero, among the members of the fleet, for an endpoint that can bear bound new
-// flows per second from all instances.
+// NewColdShare returns the share of one instance for an endpoint that can bear bound
+// new flows per second from all instances. The shares of all members of the fleet add
+// up to bound / coldBoundDivisor, rounded down. The rank of the instance among the
+// members, counted from zero, decides which shares are rounded up; a negative rank
+// gets none.
 func NewColdShare(bound float64, members, rank int) ColdShare {
-	total := int(bound / coldReserve)
+	total := int(bound / coldBoundDivisor)
 	if members <= 0 || total <= 0 || rank < 0 {
 		return ColdShare{}
 	}
@@ -46,11 +49,11 @@
 	return share
 }
 
-// Allows reports whether another flow may be forwarded at now. Recent holds the
-// times of the latest flows, and total is the number of flows that the endpoint got
-// while it was cold.
+// Allows reports whether another flow may be forwarded at now. The argument recent
+// holds the times returned by Record, and total is the number of flows that the
+// instance has forwarded to the endpoint while it was cold.
 func (s ColdShare) Allows(recent []time.Time, total int, now time.Time) bool {
-	if s.Limited && total >= s.MaxFlows {
+	if s.HasMaxFlows && total >= s.MaxFlows {
 		return false
 	}
 	inWindow := 0
@@ -62,7 +65,8 @@
 	return inWindow < s.FlowsPerSecond
 }
 
-// Record appends now to recent and removes the times that no longer count.
+// Record appends the time of a flow, now, to recent and removes the times that Allows
+// no longer counts.
 func (s ColdShare) Record(recent []time.Time, now time.Time) []time.Time {
 	recent = slices.DeleteFunc(recent, func(t time.Time) bool { return now.Sub(t) >= coldWindow+coldMargin })
 	return append(recent, now)
--- a/core/steer/cold_test.go
+++ b/core/steer/cold_test.go
@@ -13,7 +13,9 @@
 	"carawaycart/core/steer"
 )
 
-func TestColdShares(t *testing.T) {
+// Guards against instances that together exceed half of the bound, or that never use
+// all of it because their shares are rounded down.
+func TestColdSharesAddUpToHalfTheBound(t *testing.T) {
 	for _, test := range []struct {
 		bound   float64
 		members int
@@ -31,8 +33,8 @@
 	}
 }
 
-// Checks at any load, also while half of the instances do not know the others, that a
-// cold endpoint gets no more flows from all of them in any second than its bound.
+// Guards against more flows to a cold endpoint in any second than its bound, at any load
+// and also while each half of the instances does not know the other half.
 func TestColdEndpointStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(1, 24).Draw(t, "instances")
@@ -56,7 +58,7 @@
 				forwarded = append(forwarded, at)
 			}
 		}
-		const bound = 4*1.5 + 5 // cold_per_s, cold_overrun and cold_slack of the fixture
+		const bound = 4*1.5 + 5 // ColdPerSecond, ColdOverrun and ColdSlack of newFleet
 		for i := range forwarded {
 			end, _ := slices.BinarySearch(forwarded, forwarded[i]+time.Second)
 			if n := end - i; n > bound {
@@ -91,8 +93,8 @@
 	}
 }
 
-// Guards against a burst of flows to a returning zone, whose endpoints may have become
-// cold before their entries say so.
+// Guards against a burst of flows to a zone that was out and takes new flows again. Its
+// endpoints may have become cold before their entries say so.
 func TestReturningZoneCountsAsCold(t *testing.T) {
 	f := newFleet(1, 2)
 	f.contents.ZonesOut = []carawaycart.ZoneID{"a"}
--- a/core/steer/endpoint.go
+++ b/core/steer/endpoint.go
@@ -8,74 +8,78 @@
 	"carawaycart/core/directory"
 )
 
-// endpoint is one lifetime in a Table. It is immutable except for state, which is
-// shared with later tables.
+// endpoint is one lifetime in a Table. It is immutable except for state, which all
+// tables that contain the lifetime share.
 type endpoint struct {
-	lifetime        carawaycart.Lifetime
-	token           carawaycart.Token
-	presence        directory.Presence
-	coldUntil       time.Time
-	coldShare       ColdShare
-	warmUntil       time.Time // end of the warm-up after the cold time, during which other endpoints are preferred
-	returnColdUntil time.Time // end of returnColdPeriod after the return of the zone
-	state           *state
+	lifetime  carawaycart.Lifetime
+	token     carawaycart.Token
+	presence  directory.Presence
+	coldUntil time.Time // end of the cold time; in the past if the endpoint is warm
+	coldShare ColdShare // zero if the endpoint was warm when the table was built
+	// warmupUntil is the end of the warm-up after the cold time, during which other
+	// endpoints are preferred. It is zero without a profile.
+	warmupUntil         time.Time
+	zoneReturnColdUntil time.Time // end of zoneReturnColdPeriod; zero if the zone was never out
+	state               *state
 }
 
-// returnColdPeriod is the minimum time for which the endpoints of a returning zone
-// count as cold. Their entries may be outdated by a heartbeat and a read, and miss
-// that the endpoints have become cold.
-const returnColdPeriod = 3 * time.Second
+// zoneReturnColdPeriod is the minimum time for which endpoints count as cold once their
+// zone, which was out, takes new flows again. Their entries in the store may be
+// outdated by a heartbeat of the endpoint and a read of the instance, and so not yet
+// say that the endpoints have become cold.
+const zoneReturnColdPeriod = 3 * time.Second
 
-// newEndpoint returns the endpoint for s at now. Previous is the same lifetime in
-// the preceding table, or nil; returned reports whether its zone has just
-// returned.
+// newEndpoint returns the endpoint for the lifetime s at now. The argument previous is
+// the endpoint of the same lifetime in the preceding table, or nil, and returned tells
+// whether its zone was out in that table and no longer is.
 func newEndpoint(s *directory.Seen, previous *endpoint, returned bool, now time.Time) *endpoint {
 	e := &endpoint{lifetime: s.Lifetime, presence: s.Presence, coldUntil: s.ColdUntil}
 	if previous != nil {
-		e.state, e.returnColdUntil = previous.state, previous.returnColdUntil
+		e.state, e.zoneReturnColdUntil = previous.state, previous.zoneReturnColdUntil
 	} else {
 		e.state = &state{}
 	}
 	if returned {
-		e.returnColdUntil = now.Add(returnColdPeriod)
+		e.zoneReturnColdUntil = now.Add(zoneReturnColdPeriod)
 	}
-	if e.returnColdUntil.After(e.coldUntil) {
-		e.coldUntil = e.returnColdUntil
+	if e.zoneReturnColdUntil.After(e.coldUntil) {
+		e.coldUntil = e.zoneReturnColdUntil
 	}
 	return e
 }
 
-// candidate returns the state of e as a Candidate for a new flow at now, for an
-// instance in zone.
+// candidate returns the state of e as a Candidate for a new flow at now through an
+// instance in zone. It leaves Tried unset.
 func (e *endpoint) candidate(zone carawaycart.ZoneID, now time.Time) Candidate {
-	r := e.state
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	s := e.state
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	c := Candidate{
-		Outstanding: r.opening + r.waiting, Open: r.open, Slots: e.lifetime.Slots,
+		Outstanding: s.opening + s.waiting, Open: s.open, Slots: e.lifetime.Slots,
 		SameZone: e.lifetime.Zone == zone, Lapsed: e.presence == directory.Lapsed,
-		Avoided: r.timeouts > 0 && (now.Before(r.avoidUntil) || r.opening > 0),
-		Silent:  r.silent, Failing: r.outcomeCounts.failing(now),
+		Avoided: s.timeouts > 0 && (now.Before(s.avoidUntil) || s.opening > 0),
+		Silent:  s.silent, Failing: s.outcomeCounts.failing(now),
 	}
-	c.Cold = now.Before(e.warmUntil)
+	c.Cold = now.Before(e.warmupUntil)
 	if now.Before(e.coldUntil) {
 		c.Cold = true
-		c.Full = !e.coldShare.Allows(r.recentColdFlows, r.coldFlows, now)
+		c.AtColdLimit = !e.coldShare.Allows(s.recentColdFlows, s.coldFlows, now)
 	}
 	return c
 }
 
-// recordFlow records that the first packet of a flow is sent to e at now.
+// recordFlow records that the first packet of a flow is sent to e at now, and counts
+// the packet as opening.
 func (e *endpoint) recordFlow(now time.Time) {
-	r := e.state
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.opening++
+	s := e.state
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.opening++
 	if now.Before(e.coldUntil) {
-		r.recentColdFlows = e.coldShare.Record(r.recentColdFlows, now)
-		r.coldFlows++
+		s.recentColdFlows = e.coldShare.Record(s.recentColdFlows, now)
+		s.coldFlows++
 	} else {
-		r.coldFlows = 0
+		s.coldFlows = 0
 	}
 }
 
@@ -89,20 +93,20 @@
 	failedProbesBeforeSilent = 2 // consecutive failed probes after which the endpoint is silent
 )
 
-// state holds what an instance has measured of one lifetime. It is safe for
-// concurrent use.
+// state holds what an instance has observed of one lifetime of an endpoint. It is safe
+// for concurrent use.
 type state struct {
 	mu              sync.Mutex
-	opening         int // first packets that may still be answered
-	waiting         int // requests that have not been answered yet
-	open            int // open flows that the instance tracks
-	timeouts        int // consecutive unanswered first packets or requests
-	failedProbes    int // consecutive unanswered probes
-	silent          bool
-	avoidUntil      time.Time
+	opening         int           // number of first packets that may still be answered
+	waiting         int           // number of unanswered requests that were not abandoned
+	open            int           // number of tracked open flows, except those whose request was abandoned
+	timeouts        int           // number of timeouts of first packets or requests since the last answer
+	failedProbes    int           // number of probes that failed since the last answer
+	silent          bool          // whether the endpoint answers neither packets nor probes
+	avoidUntil      time.Time     // end of the avoidance after the last timeout; zero after an answer
 	answeredAt      time.Time     // when the endpoint last answered
 	recentColdFlows []time.Time   // when the latest flows were forwarded to it while cold
-	coldFlows       int           // number of flows that were forwarded to it while cold
+	coldFlows       int           // number of flows that were forwarded to it since it became cold
 	outcomeCounts   outcomeCounts // outcomes of requests, observed locally and reported by peers
 	unreported      Outcomes      // local outcomes that have not been reported to peers
 }
@@ -124,8 +128,8 @@
 	s.outcomeCounts.add(failed, answered, now)
 }
 
-// flushOutcomes returns the outcomes that have not been reported to peers and resets
-// them.
+// flushOutcomes returns the outcomes, without Token, that have not been reported to
+// peers, and counts them as reported.
 func (s *state) flushOutcomes() Outcomes {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,8 +156,8 @@
 }
 
 // recordTimeout records at now that a packet sent at sent is unanswered. It returns
-// the time for which the endpoint is avoided, zero if it has answered anything since
-// sent, and whether it is to be probed.
+// the time for which the endpoint is avoided and whether it is to be probed. If the
+// endpoint has answered anything since sent, it records nothing and returns zero.
 func (s *state) recordTimeout(sent, now time.Time) (period time.Duration, probe bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,9 +170,10 @@
 	return period, s.timeouts >= timeoutsBeforeProbe && !s.silent
 }
 
-// recordProbe records the outcome of a probe that began at began and reports whether
-// the endpoint became silent or ceased to be. An endpoint is silent if it answers
-// neither failedProbesBeforeSilent consecutive probes nor anything else meanwhile.
+// recordProbe records at now the outcome of a probe that began at began; alive tells
+// whether it was answered. It reports whether the endpoint became silent or stopped
+// being silent. An endpoint is silent if it answers neither failedProbesBeforeSilent
+// consecutive probes nor anything else meanwhile.
 func (s *state) recordProbe(alive bool, began, now time.Time) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,8 +206,7 @@
 	return s.silent
 }
 
-// adjustCounts adds the arguments to the counts of first packets without an answer,
-// of requests without an answer, and of open flows.
+// adjustCounts adds the arguments to the counts of the same names.
 func (s *state) adjustCounts(opening, waiting, open int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/core/steer/explain.go
+++ b/core/steer/explain.go
@@ -9,7 +9,8 @@
 	"carawaycart/core/directory"
 )
 
-// EndpointView is the state of one lifetime as an instance sees it.
+// EndpointView is the state of one lifetime as an instance sees it. The fields from
+// Cold on are as in Candidate.
 type EndpointView struct {
 	Lifetime    carawaycart.Lifetime
 	Token       carawaycart.Token
@@ -22,8 +23,8 @@
 	Open        int
 }
 
-// Endpoints returns the state of all lifetimes at now, ordered by ID and time of
-// birth. It returns nil without a table.
+// Endpoints returns the state of all lifetimes at now, ordered by ID and Born. It
+// returns nil without a table.
 func (r *Router) Endpoints(now time.Time) []EndpointView {
 	t := r.table.Load()
 	if t == nil {
@@ -48,17 +49,18 @@
 }
 
 // FlowView is the state of one flow as an instance sees it. The zero value means
-// that neither a route nor a packet of the flow is known.
+// that the instance has neither a route for the flow nor a record of it.
 type FlowView struct {
-	Routed   bool // whether the configuration has a route for its service address
-	Seen     bool // whether the instance has a record of the flow
-	Endpoint EndpointView
-	Opened   time.Time // when the record of the flow was created
-	Waiting  bool      // whether a request is unanswered
-	Tried    int       // number of endpoints that its first packet was sent to
+	Routed   bool         // whether the configuration has a route for its service address
+	Seen     bool         // whether the instance has a record of the flow
+	Endpoint EndpointView // endpoint of the record; this and the fields below are zero without one
+	Opened   time.Time    // when the record of the flow was created
+	Waiting  bool         // whether a request is unanswered
+	Tried    int          // number of endpoints tried since the caller last sent the first packet
 }
 
-// Flow returns the state of the flow with the given key at now.
+// Flow returns the state of the flow with the given key at now. It is zero without a
+// table and for IPv6 addresses.
 func (r *Router) Flow(key *carawaycart.FlowKey, now time.Time) FlowView {
 	t := r.table.Load()
 	if t == nil || !key.Caller.Addr().Is4() || !key.Service.Addr().Is4() {
--- a/core/steer/fixture_test.go
+++ b/core/steer/fixture_test.go
@@ -18,7 +18,7 @@
 	order = netip.MustParseAddrPort("198.18.0.1:8080") // unsafe, more urgent
 )
 
-// events counts what a router reports. It implements steer.Observer.
+// events records what a router reports. It implements steer.Observer.
 type events struct {
 	refused         map[carawaycart.Cause]int
 	hedged          int
@@ -53,7 +53,8 @@
 func (e *events) Overloaded(o steer.Overload)      { e.overloads = append(e.overloads, o) }
 func (e *events) Recovered(carawaycart.EndpointID) {}
 
-// fleet is a set of routers that share one view of the store.
+// fleet is a set of routers with the contents of the store that their tables are built
+// from.
 type fleet struct {
 	contents directory.Contents
 	roster   *directory.Roster
@@ -99,6 +100,7 @@
 	return f
 }
 
+// restart replaces router i by a new one, which has no table.
 func (f *fleet) restart(i int) {
 	f.events[i] = newEvents()
 	f.routers[i] = steer.NewRouter(f.zones[i%2], rand.NewPCG(1, uint64(i)), f.events[i])
@@ -113,8 +115,8 @@
 	}
 }
 
-// setTable builds a new table from the contents for router i, which knows only the
-// given members.
+// setTable builds a new table from the contents for router i, to which only the given
+// members of the fleet are known.
 func (f *fleet) setTable(i int, members []carawaycart.Registration, now time.Time) {
 	c := f.contents
 	c.Instances = members
@@ -124,6 +126,7 @@
 	}, f.routers[i].Table(), now))
 }
 
+// endpoint returns the entry of an endpoint in the contents, or nil if there is none.
 func (f *fleet) endpoint(id carawaycart.EndpointID) *carawaycart.Lifetime {
 	for _, l := range f.contents.Lifetimes {
 		if l.ID == id {
@@ -133,7 +136,7 @@
 	return nil
 }
 
-// remove deletes the entry of an endpoint.
+// remove deletes the entry of an endpoint from the contents.
 func (f *fleet) remove(id carawaycart.EndpointID) {
 	for i, l := range f.contents.Lifetimes {
 		if l.ID == id {
@@ -148,6 +151,7 @@
 	return carawaycart.FlowKey{Caller: caller, Service: service, Protocol: carawaycart.TCP}
 }
 
+// first returns the first packet of a flow.
 func first(flow int, service netip.AddrPort) *carawaycart.Packet {
 	return &carawaycart.Packet{Key: key(flow, service), Kind: carawaycart.PacketFirst, Sequence: 1000}
 }
@@ -158,6 +162,7 @@
 	return &carawaycart.Packet{Key: key(flow, service), Sequence: 1001, Acknowledged: 500, Token: t}
 }
 
+// request returns the caller's first request on an open flow.
 func request(flow int, service netip.AddrPort, t carawaycart.Token) *carawaycart.Packet {
 	p := acknowledgement(flow, service, t)
 	p.DataBytes = 200
--- a/core/steer/flows.go
+++ b/core/steer/flows.go
@@ -10,32 +10,36 @@
 )
 
 const (
-	flowShardBits = 4
-	flowShards    = 1 << flowShardBits
-	// maxShardFlows bounds the tracked flows of a shard. Flows beyond it are
-	// forwarded untracked.
+	flowShardBits = 4                  // binary logarithm of flowShards
+	flowShards    = 1 << flowShardBits // number of shards of a flowTable
+	// maxShardFlows bounds the flows that a shard tracks. Flows beyond it are
+	// forwarded without a record.
 	maxShardFlows   = 8192
-	flowIdleTimeout = 15 * time.Second
-	sweepPeriod     = 5 * time.Second
+	flowIdleTimeout = 15 * time.Second // time without packets after which the record of a flow may be removed
+	sweepPeriod     = 5 * time.Second  // minimum time between removals of idle flows, unless the shard is full
 )
 
-// flow is the record that an instance keeps of one flow. It is used only to place
-// new flows.
+// flow is the record that an instance keeps of one flow. It is not needed to forward
+// packets, only to decide on new flows.
 type flow struct {
-	endpoint    *endpoint
-	tried       []*endpoint // endpoints that the first packet was sent to before
-	openedAt    time.Time   // when the record was created
-	sentAt      time.Time   // when the first packet was sent to endpoint
-	lastSeen    time.Time   // when the last packet passed
-	phase       phase
-	waiting     bool      // whether a request is unanswered
-	overdue     bool      // whether the unanswered request was abandoned; the flow then counts neither as outstanding nor as open
+	endpoint *endpoint
+	// tried holds the endpoints that the first packet was sent to before endpoint,
+	// since the caller last sent it.
+	tried    []*endpoint
+	openedAt time.Time // when the record was created
+	sentAt   time.Time // when the first packet was sent to endpoint
+	lastSeen time.Time // when the instance last received a packet of the flow
+	phase    phase
+	waiting  bool // whether a request is unanswered
+	// abandoned tells whether the unanswered request counts as abandoned by the caller.
+	// The flow then counts neither as waiting nor as open.
+	abandoned   bool
 	slow        bool      // whether the unanswered request was recorded as slow
 	requestedAt time.Time // when the unanswered request was sent
 
-	objective    *objective // nil if the target of the flow is unknown
-	sequence     uint32     // highest sequence number seen
-	acknowledged uint32     // highest acknowledgement number seen
+	objective    *objective // nil if it is unknown which target of the route the flow has
+	sequence     uint32     // highest sequence number from the caller
+	acknowledged uint32     // highest acknowledgement number from the caller
 }
 
 // phase is the state of a flow with respect to its first packet.
@@ -43,11 +47,12 @@
 
 const (
 	phaseOpening    phase = iota // the first packet may still be answered
-	phaseUnanswered              // no endpoint has answered the first packet in time
+	phaseUnanswered              // no endpoint answered the first packet in time; no other is tried
 	phaseOpen                    // the caller has acknowledged the endpoint's answer
 )
 
-// flowTable holds the flows that an instance tracks, in shards by caller.
+// flowTable holds the records of the flows that an instance tracks, in shards by
+// caller address.
 type flowTable struct {
 	shards [flowShards]flowShard
 }
@@ -55,7 +60,7 @@
 type flowShard struct {
 	mu        sync.Mutex
 	flows     map[flowID]*flow
-	nextSweep time.Time // when idle flows are removed next
+	nextSweep time.Time // earliest time of the next removal of idle flows
 }
 
 func newFlowTable() *flowTable {
@@ -73,6 +78,7 @@
 // packedAddress is an IPv4 address and port.
 type packedAddress uint64
 
+// pack returns a in packed form. It panics if a is not an IPv4 address.
 func pack(a netip.AddrPort) packedAddress {
 	ip := a.Addr().As4()
 	return packedAddress(binary.BigEndian.Uint32(ip[:]))<<16 | packedAddress(a.Port())
@@ -88,10 +94,10 @@
 	return s
 }
 
-// insert adds f at now and reports whether it did; a shard full of flows that are not
-// idle takes no more. Idle flows are removed every sweepPeriod and when the shard
-// is full.
-func (s *flowShard) insert(key flowID, f *flow, now time.Time) bool {
+// insert adds f at now. It returns false, without adding f, if the shard holds
+// maxShardFlows that are not idle. It first removes idle flows, at most once every
+// sweepPeriod unless the shard is full. The caller holds mu.
+func (s *flowShard) insert(id flowID, f *flow, now time.Time) bool {
 	if !now.Before(s.nextSweep) || len(s.flows) >= maxShardFlows {
 		s.nextSweep = now.Add(sweepPeriod)
 		for k, old := range s.flows {
@@ -103,14 +109,15 @@
 	if len(s.flows) >= maxShardFlows {
 		return false
 	}
-	s.flows[key] = f
+	s.flows[id] = f
 	return true
 }
 
-// remove deletes f and subtracts it from the counts of its endpoint.
-func (s *flowShard) remove(key flowID, f *flow) {
-	delete(s.flows, key)
-	f.endpoint.state.adjustCounts(-boolToInt(f.phase == phaseOpening), -boolToInt(f.waiting && !f.overdue), -boolToInt(f.phase == phaseOpen && !f.overdue))
+// remove deletes f and subtracts it from the counts of its endpoint. The caller holds
+// mu.
+func (s *flowShard) remove(id flowID, f *flow) {
+	delete(s.flows, id)
+	f.endpoint.state.adjustCounts(-boolToInt(f.phase == phaseOpening), -boolToInt(f.waiting && !f.abandoned), -boolToInt(f.phase == phaseOpen && !f.abandoned))
 }
 
 func boolToInt(b bool) int {
--- a/core/steer/outcomes.go
+++ b/core/steer/outcomes.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	outcomeHalfLife = 4 * time.Second // half-life of the counted outcomes of an endpoint
-	minFailures     = 1.9             // decayed count of failures from which an endpoint can be failing
+	outcomeHalfLife = 4 * time.Second // half-life of the counts of an endpoint's outcomes
+	minFailures     = 1.9             // decayed count of failed requests below which an endpoint is not failing
 	// maxFailureShare is the share of failed requests above which an endpoint is
-	// failing. A queue that fills up by chance fails fewer.
+	// failing. A queue that is full by chance fails a smaller share.
 	maxFailureShare = 0.3
 	// maxPeerFailures bounds the failures that are merged from one report of a
-	// peer, so that no single instance can make an endpoint count as failing.
+	// peer. It is below minFailures, so that a report alone cannot make an endpoint
+	// count as failing.
 	maxPeerFailures     = 1
 	outcomeReportPeriod = 300 * time.Millisecond // minimum time between reports to peers
-	maxPendingRequests  = 4096                   // bounds the requests that are tracked until they are answered
-	abandonTimeout      = 3 * time.Second        // time after the answer timeout at which a request counts as abandoned by its caller
+	maxPendingRequests  = 4096                   // bounds the requests that are tracked until their answer timeout
+	abandonTimeout      = 3 * time.Second        // time from the answer timeout until a request counts as abandoned by its caller
 )
 
-// Bounds of the timeout for answers to requests. Requests take longer than first
-// packets, and their processing times vary widely.
+// Bounds of the timeout for answers to requests, and its value before the first answer.
+// Requests take longer than first packets, and their processing times vary widely.
 const (
 	minAnswerTimeout     = 150 * time.Millisecond
 	maxAnswerTimeout     = time.Second
@@ -57,22 +58,25 @@
 	return c.failed >= minFailures && c.failed > maxFailureShare*(c.failed+c.answered)
 }
 
-// Outcomes counts the failed and the answered requests of the endpoint with Token.
+// Outcomes counts the failed and the answered requests of the endpoint with Token since
+// its outcomes were last reported.
 type Outcomes struct {
 	Token    carawaycart.Token
 	Failed   int
 	Answered int
 }
 
-// pending is a request that had no answer when it was enqueued.
+// pending is a request in one of the queues of a Router. It had no answer when it was
+// enqueued; a deadline has no effect if an answer arrives before.
 type pending struct {
 	id          flowID
 	requestedAt time.Time
 	deadline    time.Time
 }
 
-// trackRequest enqueues the request that f sent at now for its slow threshold and its
-// answer timeout. Requests with an unknown target are not tracked.
+// trackRequest enqueues the request that was sent on f at now, with the deadlines after
+// which it is slow and after which it has failed. It does nothing if the objective of f
+// is unknown or maxPendingRequests are tracked.
 func (r *Router) trackRequest(id flowID, f *flow, now time.Time) {
 	if f.objective == nil {
 		return
@@ -87,15 +91,16 @@
 	}
 }
 
-// processDeadlines records the requests whose deadlines passed unanswered by now as
-// slow, failed or abandoned, and reports outcomes for the peers.
+// processDeadlines records the unanswered requests whose deadlines have passed at now as
+// slow, failed or abandoned, and reports the outcomes to the observer.
 //
-// An unanswered request counts as outstanding for abandonTimeout longer: an endpoint
-// that drops its requests would otherwise appear idle and attract more of them.
+// A failed request still counts as outstanding until it is abandoned: an endpoint that
+// drops its requests would otherwise appear idle and attract more of them.
 func (r *Router) processDeadlines(now time.Time) {
-	for a, ok := r.popDue(&r.slow, now); ok; a, ok = r.popDue(&r.slow, now) {
-		s := r.flows.lockShard(a.id)
-		if f := s.flows[a.id]; f != nil && f.waiting && f.requestedAt.Equal(a.requestedAt) {
+	for q, ok := r.popDue(&r.slow, now); ok; q, ok = r.popDue(&r.slow, now) {
+		s := r.flows.lockShard(q.id)
+		if f := s.flows[q.id]; f != nil && f.waiting && f.requestedAt.Equal(q.requestedAt) {
+			// An endpoint that answers nothing may be silent, not overloaded.
 			if f.endpoint.state.answeredSince(f.requestedAt) {
 				f.slow = true
 				f.objective.admission.RecordSlow(now)
@@ -103,22 +108,22 @@
 		}
 		s.mu.Unlock()
 	}
-	for a, ok := r.popDue(&r.pending, now); ok; a, ok = r.popDue(&r.pending, now) {
-		s := r.flows.lockShard(a.id)
-		if f := s.flows[a.id]; f != nil && f.waiting && f.requestedAt.Equal(a.requestedAt) {
+	for q, ok := r.popDue(&r.pending, now); ok; q, ok = r.popDue(&r.pending, now) {
+		s := r.flows.lockShard(q.id)
+		if f := s.flows[q.id]; f != nil && f.waiting && f.requestedAt.Equal(q.requestedAt) {
 			f.endpoint.state.recordOutcomes(1, 0, now)
 			r.scheduleReport(f.endpoint)
-			a.deadline = now.Add(abandonTimeout)
+			q.deadline = now.Add(abandonTimeout)
 			r.mu.Lock()
-			r.overdue = append(r.overdue, a)
+			r.abandoned = append(r.abandoned, q)
 			r.mu.Unlock()
 		}
 		s.mu.Unlock()
 	}
-	for a, ok := r.popDue(&r.overdue, now); ok; a, ok = r.popDue(&r.overdue, now) {
-		s := r.flows.lockShard(a.id)
-		if f := s.flows[a.id]; f != nil && f.waiting && f.requestedAt.Equal(a.requestedAt) {
-			f.overdue = true
+	for q, ok := r.popDue(&r.abandoned, now); ok; q, ok = r.popDue(&r.abandoned, now) {
+		s := r.flows.lockShard(q.id)
+		if f := s.flows[q.id]; f != nil && f.waiting && f.requestedAt.Equal(q.requestedAt) {
+			f.abandoned = true
 			f.endpoint.state.adjustCounts(0, -1, -1)
 		}
 		s.mu.Unlock()
@@ -127,27 +132,27 @@
 }
 
 // popDue removes and returns the first request of queue if its deadline has passed at
-// now.
+// now, and reports whether it did.
 func (r *Router) popDue(queue *[]pending, now time.Time) (pending, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(*queue) == 0 || (*queue)[0].deadline.After(now) {
 		return pending{}, false
 	}
-	a := (*queue)[0]
+	q := (*queue)[0]
 	*queue = (*queue)[1:]
-	return a, true
+	return q, true
 }
 
-// scheduleReport includes the outcomes of e in the next report to the peers.
+// scheduleReport includes the outcomes of e in the next report for the peers.
 func (r *Router) scheduleReport(e *endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unreported[e.token] = e.state
 }
 
-// reportOutcomes reports the outcomes of endpoints that left requests unanswered to
-// the observer, at most once every outcomeReportPeriod.
+// reportOutcomes reports to the observer the outcomes of the endpoints for which
+// scheduleReport was called, at most once every outcomeReportPeriod.
 func (r *Router) reportOutcomes(now time.Time) {
 	r.mu.Lock()
 	if len(r.unreported) == 0 || now.Sub(r.reportedAt) < outcomeReportPeriod {
@@ -167,7 +172,8 @@
 	r.observer.Failing(outcomes)
 }
 
-// TakeOutcomes merges outcomes of endpoints that a peer has reported at now.
+// TakeOutcomes merges at now the outcomes from one report of a peer. It merges at most
+// maxPeerFailures failed requests per endpoint and ignores unknown tokens.
 func (r *Router) TakeOutcomes(outcomes []Outcomes, now time.Time) {
 	t := r.table.Load()
 	if t == nil {
--- a/core/steer/outcomes_test.go
+++ b/core/steer/outcomes_test.go
@@ -23,9 +23,9 @@
 	return d.Endpoint
 }
 
-// Guards against an endpoint that accepts every flow and resets it before it answers,
-// while its health check succeeds. The instances of a zone detect it together, by
-// exchanging outcomes.
+// Guards against placing flows at an endpoint that accepts every flow and resets it
+// before it answers, while its health check succeeds. The instances of a zone detect it
+// together, by exchanging outcomes.
 func TestFailingEndpointIsAvoided(t *testing.T) {
 	f := newFleet(4, 4)
 	bad := carawaycart.EndpointID("i-01")
@@ -55,9 +55,9 @@
 	}
 }
 
-// Guards against an endpoint that counts as failing because of reports from a single
+// Guards against an endpoint that counts as failing because of one report of a single
 // peer, whose own network path may be at fault.
-func TestReportsOfOnePeerAreCapped(t *testing.T) {
+func TestFailuresInPeerReportAreCapped(t *testing.T) {
 	f := newFleet(1, 2)
 	d := mustForward(t, f.routers[0].Decide(first(1, feed), start))
 	report := []steer.Outcomes{{Token: d.Token, Failed: 1000}}
@@ -67,9 +67,9 @@
 	}
 }
 
-// Guards against requests that their callers have abandoned but that count as
-// outstanding forever.
-func TestFewFailuresDecay(t *testing.T) {
+// Guards against an endpoint that gets no flows after a few failures, because requests
+// that their callers have abandoned count as failed or outstanding forever.
+func TestFailuresAndAbandonedRequestsExpire(t *testing.T) {
 	f := newFleet(1, 2)
 	n := 0
 	fails := func(carawaycart.EndpointID) bool { n++; return n <= 2 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// Guards against an endpoint that drops its requests, appears idle and attracts more
-// of them.
+// Guards against placing more flows at an endpoint that drops its requests, because it
+// appears idle.
 func TestUnansweredRequestsCountAsOutstanding(t *testing.T) {
 	f := newFleet(1, 4) // i-01 and i-03 are in the zone of the instance
 	bad := carawaycart.EndpointID("i-01")
--- a/core/steer/router.go
+++ b/core/steer/router.go
@@ -11,37 +11,47 @@
 )
 
 const (
-	// minResendInterval is the age from which a repeated packet counts as resent.
-	// The ends resend after 200 ms; earlier repetitions are duplicates made by the
+	// minResendInterval is the time since the flow was opened, for a first packet, or
+	// since its last packet, for data, from which a repeated packet counts as resent.
+	// Callers resend after 200 ms; earlier repetitions are duplicates made by the
 	// network.
-	minResendInterval       = 150 * time.Millisecond
-	maxFirstPacketEndpoints = 3 // bounds the endpoints that a first packet is sent to before the caller resends it
+	minResendInterval = 150 * time.Millisecond
+	// maxFirstPacketEndpoints bounds the endpoints that a first packet is sent to
+	// before the caller resends it.
+	maxFirstPacketEndpoints = 3
 )
 
 // Observer is notified of the decisions of a Router and of state changes of endpoints.
+// Its methods may be called while the Router holds locks, so they must not call the
+// Router.
 type Observer interface {
-	// Placed is called when a first packet is forwarded to an endpoint.
+	// Placed is called when an endpoint with state c is chosen for the first packet of
+	// a flow, also if the packet was sent to other endpoints before.
 	Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *Candidate, how Placing)
-	// Refused is called when a packet is not forwarded.
+	// Refused is called when a packet is not forwarded because of c. The flow is reset
+	// if reset is true. The revision is that of the table, zero if it is not complete.
 	Refused(p *carawaycart.Packet, c carawaycart.Cause, reset bool, revision carawaycart.StoreRevision)
-	// Avoided is called when an endpoint is avoided for period because a packet was
-	// unanswered: a first packet if what is "first", data if it is "data".
+	// Avoided is called when an endpoint is avoided for period because it did not
+	// answer a packet. The packet is a first packet if what is "first", or data if what
+	// is "data".
 	Avoided(e carawaycart.EndpointID, what string, period time.Duration)
-	// Doubted is called when an endpoint is to be probed.
+	// Doubted is called when the endpoint of l is to be probed.
 	Doubted(l *carawaycart.Lifetime)
-	// Silenced is called when an endpoint becomes silent or answers again.
+	// Silenced is called when a probe shows that an endpoint has become silent or
+	// answers again.
 	Silenced(e carawaycart.EndpointID, silent bool)
-	// Failing is called with the outcomes of endpoints that left requests unanswered.
+	// Failing is called with the outcomes since the last call of endpoints that left
+	// requests unanswered.
 	Failing(outcomes []Outcomes)
 	// Overloaded is called when refusals of new flows of a service begin or end, and
 	// periodically in between.
 	Overloaded(o Overload)
-	// Recovered is called when an endpoint answers after a timeout.
+	// Recovered is called when an endpoint answers a packet after a timeout.
 	Recovered(e carawaycart.EndpointID)
 }
 
-// Router decides the packets of one instance. It implements carawaycart.Router and is
-// safe for concurrent use.
+// Router decides what one instance does with each packet. It implements
+// carawaycart.Router and is safe for concurrent use.
 type Router struct {
 	zone     carawaycart.ZoneID
 	table    atomic.Pointer[Table]
@@ -51,16 +61,16 @@
 	mu               sync.Mutex // guards the fields below
 	random           *rand.Rand
 	candidates       []Candidate                              // buffer that is reused between placements
-	timeoutEstimator map[carawaycart.ZoneID]*timeoutEstimator // timeouts of first packets by the zone of the endpoint
-	slow             []pending                                // unanswered requests, nearly ordered by the deadline after which they are slow
-	pending          []pending                                // unanswered requests, nearly ordered by the deadline after which they have failed
-	overdue          []pending                                // failed requests, ordered by the deadline after which they are abandoned
-	unreported       map[carawaycart.Token]*state             // endpoints whose outcomes are to be reported
+	timeoutEstimator map[carawaycart.ZoneID]*timeoutEstimator // answer times of first packets, by zone of the endpoint
+	slow             []pending                                // tracked requests, nearly ordered by the time when they become slow
+	pending          []pending                                // tracked requests, nearly ordered by the time when they fail
+	abandoned        []pending                                // failed requests, ordered by the time when they are abandoned
+	unreported       map[carawaycart.Token]*state             // states of the endpoints whose outcomes are to be reported
 	reportedAt       time.Time                                // when outcomes were last reported
 }
 
-// NewRouter returns a router without a table for an instance in zone. It takes its
-// random numbers from source.
+// NewRouter returns a router without a table for an instance in zone. It draws random
+// numbers from source and notifies o.
 func NewRouter(zone carawaycart.ZoneID, source rand.Source, o Observer) *Router {
 	return &Router{
 		zone: zone, flows: newFlowTable(), observer: o, random: rand.New(source),
@@ -76,7 +86,8 @@
 
 // Decide returns the decision for packet p at now. Without a complete table it drops
 // all packets. It resets a flow that sends data to a silent endpoint only if the
-// requests of the route may run more than once.
+// requests of the route may run more than once, since a reset does not tell the caller
+// whether its request was run.
 func (r *Router) Decide(p *carawaycart.Packet, now time.Time) carawaycart.Decision {
 	t := r.table.Load()
 	if !t.Complete() {
@@ -110,7 +121,8 @@
 	}
 }
 
-// refuse drops p. It resets the flow if reset is true and p is not itself a reset.
+// refuse returns the decision to drop p because of c and notifies the observer. The
+// decision is to reset the flow if reset is true and p is not itself a reset.
 func (r *Router) refuse(p *carawaycart.Packet, c carawaycart.Cause, reset bool, revision carawaycart.StoreRevision) carawaycart.Decision {
 	reset = reset && !p.Reset
 	r.observer.Refused(p, c, reset, revision)
@@ -120,7 +132,8 @@
 	return carawaycart.Decision{Verdict: carawaycart.VerdictDrop, Cause: c}
 }
 
-// decideFirst returns the decision for the first packet of a flow.
+// decideFirst returns the decision for p, the first packet of the flow id, which the
+// caller may have sent before.
 func (r *Router) decideFirst(t *Table, route *route, id flowID, p *carawaycart.Packet, now time.Time) carawaycart.Decision {
 	r.processDeadlines(now)
 	s := r.flows.lockShard(id)
@@ -138,7 +151,7 @@
 		tried = append(tried, f.endpoint)
 		s.remove(id, f)
 	}
-	to := r.target(route)
+	to := r.routeTarget(route)
 	if to == nil {
 		return r.refuse(p, carawaycart.CauseNoEndpoint, true, t.Revision)
 	}
@@ -166,7 +179,7 @@
 }
 
 // Patience returns the timeout for the answer to a first packet that is sent to an
-// endpoint in zone.
+// endpoint in zone. It is estimated from earlier answers of this zone.
 func (r *Router) Patience(zone carawaycart.ZoneID) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,8 +197,9 @@
 	return e
 }
 
-// Hedge returns the decision to send the first packet of the flow at key to another
-// endpoint if its answer is overdue at now, and whether it is to be sent. The caller
+// Hedge records at now that the first packet of the flow with the given key has timed
+// out, and returns the decision to send it to another endpoint. It returns false if the
+// packet was answered meanwhile or is not to be sent again. The caller of the flow
 // acknowledges the endpoint that answers first and ignores the others.
 func (r *Router) Hedge(key *carawaycart.FlowKey, now time.Time) (carawaycart.Decision, bool) {
 	t := r.table.Load()
@@ -200,7 +214,7 @@
 	f.tried = append(f.tried, f.endpoint)
 	var e *endpoint
 	if route := t.routes[id.service]; route != nil && len(f.tried) < maxFirstPacketEndpoints {
-		if to := r.target(route); to != nil {
+		if to := r.routeTarget(route); to != nil {
 			e, _ = r.place(t, to, key, 0, f.tried, now)
 		}
 	}
@@ -225,9 +239,10 @@
 	return false
 }
 
-// place chooses an endpoint of to for a flow, preferably one that was not tried. If
-// there is none, it returns nil and the cause.
-func (r *Router) place(t *Table, to *target, key *carawaycart.FlowKey, copied int, tried []*endpoint, now time.Time,
+// place chooses an endpoint of to for the flow with the given key, preferably one that
+// is not among tried, and notifies the observer. If all are excluded, it returns nil and
+// the cause.
+func (r *Router) place(t *Table, to *routeTarget, key *carawaycart.FlowKey, copyNumber int, tried []*endpoint, now time.Time,
 ) (*endpoint, carawaycart.Cause) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -237,7 +252,7 @@
 	for _, e := range endpoints {
 		c := e.candidate(r.zone, now)
 		c.Tried = isTried(tried, e)
-		full, silent = full || c.Full, silent || c.Silent
+		full, silent = full || c.AtColdLimit, silent || c.Silent
 		r.candidates = append(r.candidates, c)
 	}
 	i := Choose(r.candidates, r.random.IntN)
@@ -251,22 +266,23 @@
 		return nil, carawaycart.CauseNoEndpoint
 	}
 	r.observer.Placed(key, endpoints[i].lifetime.ID, &r.candidates[i], Placing{
-		Copy: copied, Hedge: len(tried), Candidates: len(endpoints), Revision: t.Revision,
+		Copy: copyNumber, Hedge: len(tried), Candidates: len(endpoints), Revision: t.Revision,
 	})
 	return endpoints[i], carawaycart.CauseNone
 }
 
-// Placing describes the circumstances under which a flow was placed.
+// Placing describes the circumstances under which an endpoint was chosen for a flow.
 type Placing struct {
-	Copy       int // number of the copy of the first packet; zero is the original
-	Hedge      int // number of endpoints that were tried before
-	Candidates int // number of endpoints to choose from
-	Revision   carawaycart.StoreRevision
+	Copy       int                       // number of times that the caller had sent the first packet before; zero for a hedge
+	Hedge      int                       // number of times that the first packet was sent to an endpoint before
+	Candidates int                       // number of endpoints to choose from, including excluded ones
+	Revision   carawaycart.StoreRevision // revision of the table
 }
 
-// target returns a random target of t by weight, among those that have endpoints,
-// or nil if none has. A single target is returned in any case.
-func (r *Router) target(t *route) *target {
+// routeTarget returns a random target of t, chosen by weight among those that have
+// endpoints, or nil if none has. If t has a single target, it is returned even without
+// endpoints.
+func (r *Router) routeTarget(t *route) *routeTarget {
 	if len(t.targets) == 1 {
 		return &t.targets[0]
 	}
@@ -296,7 +312,7 @@
 }
 
 // handleTimeout records at now that a packet sent to e at sent is unanswered, and
-// notifies the observer.
+// notifies the observer. The argument what is as in Observer.Avoided.
 func (r *Router) handleTimeout(e *endpoint, what string, sent, now time.Time) {
 	period, probe := e.state.recordTimeout(sent, now)
 	if period > 0 {
@@ -307,8 +323,9 @@
 	}
 }
 
-// Probed records the outcome of a probe that began at began. It reports whether the
-// endpoint is to be probed again and whether it became silent by this probe.
+// Probed records at now the outcome of a probe that began at began; alive tells whether
+// it was answered. It reports whether the endpoint is to be probed again and whether
+// this probe made it silent. Probes of unknown or ended lifetimes are ignored.
 func (r *Router) Probed(key carawaycart.LifetimeKey, alive bool, began, now time.Time) (again, silent bool) {
 	t := r.table.Load()
 	if t == nil || t.byKey[key] == nil || t.byKey[key].presence == directory.Ended {
@@ -322,8 +339,8 @@
 	return e.state.needsProbe(), changed && !alive
 }
 
-// Reachable reports whether at least one endpoint that takes new flows is not silent.
-// It is true if no endpoint takes new flows, or without a table.
+// Reachable reports whether at least one endpoint that may take new flows is not silent.
+// It is also true if no endpoint may take new flows, or without a table.
 func (r *Router) Reachable() bool {
 	t := r.table.Load()
 	if t == nil {
@@ -343,7 +360,7 @@
 }
 
 // Doubt requests a probe of the endpoint with the given token, which a peer has found
-// silent. Endpoints that are unknown, ended or already silent are not probed.
+// silent. It does nothing if the endpoint is unknown, ended or already silent.
 func (r *Router) Doubt(token carawaycart.Token) {
 	t := r.table.Load()
 	if t == nil {
@@ -354,8 +371,9 @@
 	}
 }
 
-// trackPacket updates the record of a flow at e, and the state of e, by a packet that
-// is not the first.
+// trackPacket updates the record of the flow id, and the state of its endpoint e, with
+// p, which is not the first packet. It adds a record if there is none for the flow at
+// e and p carries data.
 func (r *Router) trackPacket(id flowID, p *carawaycart.Packet, via *route, e *endpoint, now time.Time) {
 	s := r.flows.lockShard(id)
 	defer s.mu.Unlock()
@@ -372,6 +390,7 @@
 		if f != nil {
 			s.remove(id, f)
 		}
+		// The sequence number before that of p makes the data of p a new request.
 		f = &flow{endpoint: e, openedAt: now, phase: phaseOpen, acknowledged: p.Acknowledged, sequence: p.Sequence - 1}
 		if len(via.targets) == 1 {
 			f.objective = via.targets[0].objective
@@ -388,7 +407,10 @@
 	}
 }
 
-// updateFlow updates f and the state of its endpoint by packet p.
+// updateFlow updates f and the state of its endpoint with packet p. The first one after
+// the first packet opens the flow, since the caller has got an answer. Acknowledging
+// further data of the endpoint answers a request, new data of the caller begins one
+// unless another is waiting, and resent data means a timeout.
 func (r *Router) updateFlow(id flowID, f *flow, p *carawaycart.Packet, now time.Time) {
 	e := f.endpoint
 	if f.phase != phaseOpen {
@@ -400,12 +422,13 @@
 		r.mu.Unlock()
 		r.handleAnswer(e, now)
 	}
+	// The difference as an int32 orders numbers that wrap around at 2^32.
 	if int32(p.Acknowledged-f.acknowledged) > 0 {
 		f.acknowledged = p.Acknowledged
 		r.handleAnswer(e, now)
 		if f.waiting {
-			e.state.adjustCounts(0, -boolToInt(!f.overdue), boolToInt(f.overdue))
-			f.waiting, f.overdue = false, false
+			e.state.adjustCounts(0, -boolToInt(!f.abandoned), boolToInt(f.abandoned))
+			f.waiting, f.abandoned = false, false
 			e.state.recordOutcomes(0, 1, now)
 			if o := f.objective; o != nil {
 				o.admission.RecordAnswer(o.priority, now.Sub(f.requestedAt), o.answerTarget, f.slow, now)
@@ -429,7 +452,8 @@
 	}
 }
 
-// handleAnswer records an answer of e at now and notifies the observer if e recovered.
+// handleAnswer records an answer of e at now and notifies the observer if a timeout
+// preceded it.
 func (r *Router) handleAnswer(e *endpoint, now time.Time) {
 	if e.state.recordAnswer(now) {
 		r.observer.Recovered(e.lifetime.ID)
--- a/core/steer/router_test.go
+++ b/core/steer/router_test.go
@@ -43,6 +43,8 @@
 	})
 }
 
+// Checks the decision of another instance after the owner of the flow's token, its zone
+// or its route has changed.
 func TestDecide(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -136,17 +138,21 @@
 	}
 }
 
+// Guards against sending a resent first packet to the endpoint that did not answer the
+// original one.
 func TestResentFirstPacketGoesToAnotherEndpoint(t *testing.T) {
 	f := newFleet(1, 4)
-	silent := f.routers[0].Decide(first(1, feed), start).Endpoint
+	unanswered := f.routers[0].Decide(first(1, feed), start).Endpoint
 	p := first(1, feed)
 	p.Copy = 1
-	if got := f.routers[0].Decide(p, start.Add(200*time.Millisecond)).Endpoint; got == silent {
+	if got := f.routers[0].Decide(p, start.Add(200*time.Millisecond)).Endpoint; got == unanswered {
 		t.Errorf("got %s again, which left the original first packet unanswered", got)
 	}
 }
 
-func TestHedge(t *testing.T) {
+// Guards against a hedge to the same endpoint, or for a flow that is already open, and
+// against later packets that leave the endpoint whose token they carry.
+func TestHedgeUsesAnotherEndpoint(t *testing.T) {
 	f := newFleet(1, 4)
 	r, k := f.routers[0], key(1, feed)
 	original := mustForward(t, r.Decide(first(1, feed), start))
@@ -165,7 +171,9 @@
 	}
 }
 
-func TestHedgeEnds(t *testing.T) {
+// Guards against a first packet that is sent to the same endpoints again and again while
+// none of them answers.
+func TestHedgeTriesEachEndpointOnce(t *testing.T) {
 	f := newFleet(1, 2)
 	r, k := f.routers[0], key(1, feed)
 	mustForward(t, r.Decide(first(1, feed), start))
@@ -229,9 +237,9 @@
 	}
 }
 
-// Checks that open flows to a silent endpoint are reset only for requests that may run
-// more than once: a reset does not tell whether the request was run.
-func TestSilentEndpoint(t *testing.T) {
+// Guards against resetting flows to a silent endpoint if their requests must not run more
+// than once: a reset does not tell the caller whether the request was run.
+func TestSilentEndpointResetsOnlyRepeatableRequests(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		service netip.AddrPort
@@ -260,9 +268,9 @@
 	}
 }
 
-// Guards against callers that wait until their timeouts when no endpoint can be
-// reached, as in a zone that is out and partitioned from the others. Their flows are
-// reset immediately.
+// Guards against callers that wait for their timeouts when no endpoint can be reached,
+// as in a zone that is out and partitioned from the others. Their flows are to be reset
+// immediately.
 func TestNewFlowsAreResetWhenAllEndpointsAreSilent(t *testing.T) {
 	f := newFleet(1, 2)
 	for _, id := range []carawaycart.EndpointID{"i-01", "i-02"} {
@@ -278,9 +286,9 @@
 	}
 }
 
-// Guards against treating a full endpoint as silent: it accepts no new flows but still
-// answers those that it has, and its probe.
-func TestFullEndpointIsNotSilent(t *testing.T) {
+// Guards against treating an endpoint with a full queue as silent: it does not accept new
+// flows and fails a probe, but still answers on the flows that it has.
+func TestEndpointWithFullQueueIsNotSilent(t *testing.T) {
 	f := newFleet(1, 1)
 	d := mustForward(t, f.routers[0].Decide(first(1, feed), start))
 	f.routers[0].Decide(request(1, feed, d.Token), start.Add(8*time.Millisecond))
@@ -296,6 +304,8 @@
 	}
 }
 
+// Guards against an endpoint that is avoided too briefly, or forever, after it left one
+// first packet unanswered.
 func TestAvoidedEndpointIsRetried(t *testing.T) {
 	f := newFleet(1, 2)
 	r, k := f.routers[0], key(1, feed)
@@ -342,8 +352,8 @@
 	}
 }
 
-// Checks an instance in a zone that is partitioned from the endpoints of all other
-// zones while its own endpoints take no new flows.
+// Guards against an instance that does not notice that it reaches no endpoint, because its
+// zone is out and partitioned from the endpoints of all other zones.
 func TestReachable(t *testing.T) {
 	f := newFleet(1, 4) // i-01 and i-03 in zone a
 	r := f.routers[0]
--- a/core/steer/table.go
+++ b/core/steer/table.go
@@ -8,59 +8,63 @@
 	"carawaycart/internal/rendezvous"
 )
 
-// Table is an immutable snapshot of the state on which decisions are based.
+// Table is a view of the store on which decisions are based. It is immutable, except
+// that it shares the state of endpoints and the Admissions with the tables before and
+// after it.
 type Table struct {
-	Version  uint64 // version of the routing configuration; zero without one
-	Revision carawaycart.StoreRevision
+	Version  uint64                    // version of the routing configuration; zero without one
+	Revision carawaycart.StoreRevision // revision of the store that it was built from
 
-	routes   map[packedAddress]*route
+	routes   map[packedAddress]*route // routes by service address
 	byToken  map[carawaycart.Token]*endpoint
 	byKey    map[carawaycart.LifetimeKey]*endpoint
-	zonesOut map[carawaycart.ZoneID]bool
+	zonesOut map[carawaycart.ZoneID]bool // zones whose endpoints take no new flows
 
 	policies   map[carawaycart.ServiceID]carawaycart.ServicePolicy
 	admissions map[carawaycart.ServiceID]*Admission // shared by all tables of a router
 }
 
-// route holds the targets of the new flows of one address.
+// route determines where the new flows to one service address go.
 type route struct {
-	targets    []target
-	repeatable bool // whether its requests may run more than once
+	targets    []routeTarget
+	repeatable bool // whether requests to the address may run more than once
 }
 
-type target struct {
+// routeTarget is a service that gets a part of the new flows of a route.
+type routeTarget struct {
 	service   carawaycart.ServiceID
-	endpoints []*endpoint
-	weight    int
+	endpoints []*endpoint // endpoints that may take new flows
+	weight    int         // share of the new flows, relative to the weights of the other targets
 	objective *objective
 }
 
-// objective is the target answer time of requests and the admission control that
-// enforces it.
+// objective is the priority and target answer time of requests, and the admission
+// control that refuses flows while it is missed.
 type objective struct {
-	admission    *Admission // shared by all routes to the service
-	priority     int        // zero is the most urgent
-	answerTarget time.Duration
+	admission    *Admission    // shared by all routes to the service
+	priority     int           // zero is the most urgent
+	answerTarget time.Duration // time within which a request should be answered
 }
 
-// Limits bound the new flows that cold endpoints get from all instances.
+// Limits bound the new flows per second that a cold endpoint gets from all instances
+// together: to ColdOverrun times the rate that it can bear, plus ColdSlack.
 type Limits struct {
-	ColdOverrun float64 // multiple of the rate that a cold endpoint says it can bear
-	ColdSlack   float64 // additional requests per second
+	ColdOverrun float64 // factor of carawaycart.ServicePolicy.ColdPerSecond
+	ColdSlack   float64 // new flows per second
 }
 
 // Input is the data that a Table is built from.
 type Input struct {
-	Contents directory.Contents
-	Revision carawaycart.StoreRevision
-	Roster   *directory.Roster
-	Self     carawaycart.InstanceID
+	Contents directory.Contents        // routing configuration, instances and zones out, as read from the store
+	Revision carawaycart.StoreRevision // revision of Contents
+	Roster   *directory.Roster         // lifetimes, including lapsed and ended ones
+	Self     carawaycart.InstanceID    // instance that the table is built for
 	Limits   Limits
 	Profiles map[carawaycart.ServiceID]carawaycart.Profile // profiles by service, for services that have one
 }
 
-// NewTable returns the table for in at now. Endpoints that are also in previous, which
-// may be nil, keep their state.
+// NewTable returns the table that is built from in at now. Endpoints and admissions
+// that are also in previous, which may be nil, keep their state.
 func NewTable(in *Input, previous *Table, now time.Time) *Table {
 	t := &Table{
 		Revision: in.Revision,
@@ -85,6 +89,8 @@
 	return t
 }
 
+// addEndpoints adds the endpoints of all lifetimes in in.Roster and assigns their
+// tokens.
 func (t *Table) addEndpoints(in *Input, previous *Table, now time.Time) {
 	policies := make(map[carawaycart.ServiceID]carawaycart.ServicePolicy)
 	if in.Contents.Config != nil {
@@ -103,7 +109,7 @@
 		e := newEndpoint(s, old, t.zoneReturned(previous, s.Lifetime.Zone), now)
 		profile, ok := in.Profiles[s.Lifetime.Service]
 		if ok {
-			e.warmUntil = e.coldUntil.Add(profile.WarmupSeconds.Duration())
+			e.warmupUntil = e.coldUntil.Add(profile.WarmupSeconds.Duration())
 		}
 		if now.Before(e.coldUntil) {
 			e.coldShare = coldShare(in, policies[s.Lifetime.Service], profile, key)
@@ -125,8 +131,10 @@
 	return previous != nil && previous.zonesOut[zone] && !t.zonesOut[zone]
 }
 
-// coldShare returns the instance's share of the new flows of a cold endpoint. A
-// profile without a name sets no limit.
+// coldShare returns the share of instance in.Self of the new flows of the cold endpoint
+// with the given key. Members are ranked by rendezvous hashing, so that they agree on
+// their ranks and the rank of each varies with the endpoint. A profile without a name
+// does not limit the total number of flows.
 func coldShare(in *Input, policy carawaycart.ServicePolicy, profile carawaycart.Profile, key carawaycart.LifetimeKey) ColdShare {
 	bound := policy.ColdPerSecond*in.Limits.ColdOverrun + in.Limits.ColdSlack
 	endpointKey := rendezvous.NewKey(string(key.ID))
@@ -143,12 +151,13 @@
 	}
 	share := NewColdShare(bound, members, rank)
 	if profile.Name != "" {
-		share.Limited = true
+		share.HasMaxFlows = true
 		share.MaxFlows = memberShare(profile.ColdFlows, members, rank)
 	}
 	return share
 }
 
+// addRoutes adds the routes of c, with an Admission for each service that has none.
 func (t *Table) addRoutes(c *carawaycart.RouteConfig) {
 	services := make(map[carawaycart.ServiceID][]*endpoint)
 	for _, e := range t.byKey {
@@ -163,7 +172,7 @@
 			if t.admissions[to.Service] == nil {
 				t.admissions[to.Service] = &Admission{}
 			}
-			r.targets = append(r.targets, target{
+			r.targets = append(r.targets, routeTarget{
 				service: to.Service, endpoints: services[to.Service], weight: to.Weight,
 				objective: &objective{admission: t.admissions[to.Service], priority: from.Priority, answerTarget: from.Target},
 			})
@@ -180,12 +189,14 @@
 // Complete reports whether t has a routing configuration. It is false if t is nil.
 func (t *Table) Complete() bool { return t != nil && t.Version != 0 }
 
-// HealthPath returns the path of the health check of the endpoints of service.
+// HealthPath returns the HTTP path of the health check of the endpoints of service, or
+// the empty string if the service is not configured.
 func (t *Table) HealthPath(service carawaycart.ServiceID) string {
 	return t.policies[service].HealthPath
 }
 
-// Token returns the token of the lifetime, or zero if the lifetime is unknown.
+// Token returns the token of the lifetime with the given key, or zero if the lifetime
+// is unknown.
 func (t *Table) Token(key carawaycart.LifetimeKey) carawaycart.Token {
 	if e := t.byKey[key]; e != nil {
 		return e.token
--- a/core/steer/token.go
+++ b/core/steer/token.go
@@ -10,11 +10,12 @@
 	"carawaycart"
 )
 
-// maxDerivations bounds the tokens that are derived for one lifetime. At 21,000
-// lifetimes a third token is needed about once in 10^10 days.
+// maxDerivations bounds the tokens that are derived for one lifetime. With 21,000
+// lifetimes, a third one is needed about once in 10^10 days.
 const maxDerivations = 4
 
-// derive returns the n-th token of a lifetime, counted from zero. It is never zero.
+// derive returns the n-th of the tokens that a lifetime may get, counted from zero. It
+// is a hash of key and n, and never zero.
 func derive(key carawaycart.LifetimeKey, n int) carawaycart.Token {
 	var b [9]byte
 	binary.BigEndian.PutUint64(b[:8], uint64(key.Born))
@@ -32,10 +33,10 @@
 
 // assignTokens returns the token of each lifetime and the owner of each token.
 //
-// If two lifetimes derive the same token, it belongs to the older one, and the
-// younger one uses the next token that it derives. A younger lifetime also owns its
-// skipped tokens that no older lifetime has, since an instance that did not know
-// the older one may have assigned them.
+// If two lifetimes derive the same token, it belongs to the older one, and the younger
+// one gets the next token that it derives. An instance that does not know the older one
+// may have assigned the skipped token to the younger one. A lifetime whose
+// maxDerivations tokens all belong to older ones has none.
 func assignTokens(keys []carawaycart.LifetimeKey, deriveToken func(carawaycart.LifetimeKey, int) carawaycart.Token,
 ) (tokens map[carawaycart.LifetimeKey]carawaycart.Token, owners map[carawaycart.Token]carawaycart.LifetimeKey) {
 	sorted := slices.Clone(keys)
--- a/core/steer/token_test.go
+++ b/core/steer/token_test.go
@@ -20,6 +20,8 @@
 // deriveNarrow derives tokens from a range so small that many collide.
 func deriveNarrow(key carawaycart.LifetimeKey, n int) carawaycart.Token { return derive(key, n)%97 + 1 }
 
+// Guards against instances that assign different tokens because they know the lifetimes
+// in a different order.
 func TestTokensAreIndependentOfOrder(t *testing.T) {
 	keys := lifetimeKeys(30)
 	want, wantOwners := assignTokens(keys, deriveNarrow)
@@ -33,6 +35,7 @@
 	}
 }
 
+// Guards against a token that two lifetimes share when their derived tokens collide.
 func TestTokensHaveOneOwner(t *testing.T) {
 	tokens, owners := assignTokens(lifetimeKeys(30), deriveNarrow)
 	collided := 0
@@ -62,6 +65,8 @@
 	}
 }
 
+// Guards against packets that reach the next lifetime of an endpoint with the token of
+// the one before.
 func TestTokenDistinguishesLifetimes(t *testing.T) {
 	a := derive(carawaycart.LifetimeKey{ID: "i-1", Born: 1}, 0)
 	b := derive(carawaycart.LifetimeKey{ID: "i-1", Born: 2}, 0)
@@ -70,7 +75,9 @@
 	}
 }
 
-func TestTokensAtTargetScale(t *testing.T) {
+// Guards against lifetimes without a token of their own because too few tokens are
+// derived for each, at 21,000 lifetimes.
+func TestTokensOfManyLifetimesAreDistinct(t *testing.T) {
 	tokens, owners := assignTokens(lifetimeKeys(21000), derive)
 	if len(tokens) != 21000 || len(owners) != 21000 {
 		t.Errorf("got %d tokens and %d owners, want 21000", len(tokens), len(owners))
