--- a/core/flow/bench_test.go
+++ b/core/flow/bench_test.go
@@ -34,6 +34,8 @@
 	})
 }
 
+// BenchmarkDecideRecorded measures decisions by flow record: all endpoints are
+// guarded, so no slot is clean.
 func BenchmarkDecideRecorded(b *testing.B) {
 	for _, records := range []int{1000, 35000, 300000} {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
@@ -53,6 +55,7 @@
 	}
 }
 
+// BenchmarkRecordMemory measures the memory that one more flow record takes.
 func BenchmarkRecordMemory(b *testing.B) {
 	b.ReportAllocs()
 	r := flow.NewRecords()
--- a/core/flow/conformance_test.go
+++ b/core/flow/conformance_test.go
@@ -10,34 +10,35 @@
 	"carawaycart/internal/routertest"
 )
 
-// recordFleet adapts a fixture to routertest.Fleet.
-type recordFleet struct {
+// fixtureFleet adapts a fixture to routertest.Fleet.
+type fixtureFleet struct {
 	*fixture
 	t *testing.T
 }
 
-func (r recordFleet) Instances() int { return len(r.members) }
+func (r fixtureFleet) Instances() int { return len(r.members) }
 
-func (r recordFleet) First(instance, n int, now time.Time) carawaycart.Decision {
+func (r fixtureFleet) First(instance, n int, now time.Time) carawaycart.Decision {
 	return r.send(r.instanceID(instance), packet(n, carawaycart.PacketFirst), now)
 }
 
-func (r recordFleet) Later(instance, n int, _ carawaycart.Decision, now time.Time) carawaycart.Decision {
+func (r fixtureFleet) Later(instance, n int, _ carawaycart.Decision, now time.Time) carawaycart.Decision {
 	return r.send(r.instanceID(instance), packet(n, carawaycart.PacketMiddle), now)
 }
 
-func (r recordFleet) Unknown(instance int, now time.Time) carawaycart.Decision {
+func (r fixtureFleet) Unknown(instance int, now time.Time) carawaycart.Decision {
 	p := packet(0, carawaycart.PacketFirst)
 	p.Key.Service = netip.MustParseAddrPort("192.0.2.99:1")
 	return r.send(r.instanceID(instance), p, now)
 }
 
-func (r recordFleet) Drain(e carawaycart.EndpointID, now time.Time) {
+func (r fixtureFleet) Drain(e carawaycart.EndpointID, now time.Time) {
 	r.markLeaving(r.t, e)
 	for id := range r.boards {
 		r.applyConfig(id, now)
 	}
-	// A new table takes effect in stages, driven by the ticks of an instance.
+	// An instance activates a new table, and later discards the previous one, at
+	// its ticks; 4 s exceed both delays.
 	for at := now; at.Before(now.Add(4 * time.Second)); at = at.Add(250 * time.Millisecond) {
 		for _, b := range r.boards {
 			b.Tick(at)
@@ -46,7 +47,7 @@
 }
 
 // Restart replaces the records of an instance by those that its peers hold.
-func (r recordFleet) Restart(instance int, now time.Time) {
+func (r fixtureFleet) Restart(instance int, now time.Time) {
 	id := r.instanceID(instance)
 	fresh := flow.NewRecords()
 	for other, records := range r.records {
@@ -63,6 +64,6 @@
 
 func TestConformance(t *testing.T) {
 	routertest.Run(t, func(t *testing.T, instances, endpoints int) routertest.Fleet {
-		return recordFleet{newFixture(t, instances, endpoints), t}
+		return fixtureFleet{newFixture(t, instances, endpoints), t}
 	})
 }
--- a/core/flow/records.go
+++ b/core/flow/records.go
@@ -9,8 +9,8 @@
 
 const recordShardCount = 64
 
-// endedRetention is how long the record of an ended flow is retained to forward
-// late packets.
+// endedRetention is how long the record of an ended flow is retained after its last
+// packet, to forward late packets.
 const endedRetention = 5 * time.Second
 
 // Records is a sharded map of flow records by fingerprint. It is safe for
@@ -26,8 +26,8 @@
 
 type record struct {
 	carawaycart.FlowRecord
-	lastSeen int64 // time of the last packet in Unix nanoseconds
-	ended    bool
+	lastSeen int64 // time of the last packet or merge in Unix nanoseconds
+	ended    bool  // the packet that ends the flow was seen
 }
 
 // NewRecords returns an empty Records.
@@ -40,12 +40,12 @@
 }
 
 func (r *Records) shard(f carawaycart.Fingerprint) *recordShard {
-	// The low bits of f select the slot, so the shard is selected by the high bits.
+	// The low bits of f select the slot, so the six high bits select the shard.
 	return &r.shards[f>>58%recordShardCount]
 }
 
 // OwnerForPacket returns the endpoint that owns flow f and records that a packet
-// of the flow was seen at now. Last marks the packet that ends the flow. It
+// of the flow was seen at now. If last is true, the packet ends the flow. It
 // returns false if there is no record.
 func (r *Records) OwnerForPacket(f carawaycart.Fingerprint, now time.Time, last bool) (carawaycart.EndpointID, bool) {
 	s := r.shard(f)
@@ -62,7 +62,8 @@
 
 // OwnerForFirstPacket returns the endpoint that owns flow f and records that a
 // packet of the flow was seen at now. If the flow has ended, it deletes the
-// record. It returns false if there is no record of an open flow.
+// record, because the packet opens a new flow. It returns false if there is no
+// record of an open flow.
 func (r *Records) OwnerForFirstPacket(f carawaycart.Fingerprint, now time.Time) (carawaycart.EndpointID, bool) {
 	s := r.shard(f)
 	s.mu.Lock()
@@ -87,20 +88,24 @@
 	delete(s.records, f)
 }
 
-// Put merges record f, seen at now. A record that exists for the same open flow
-// is replaced if f has a higher revision, or the same revision and an earlier
-// opening time.
-func (r *Records) Put(f carawaycart.FlowRecord, now time.Time) {
-	s := r.shard(f.Fingerprint)
+// Put merges a record that was made or received at now. It replaces an existing
+// record of the same flow if that flow has ended, or if the added record has a
+// higher revision, or the same revision and an earlier opening time. Otherwise the
+// existing record stays and only its idle time restarts at now.
+func (r *Records) Put(added carawaycart.FlowRecord, now time.Time) {
+	s := r.shard(added.Fingerprint)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old, ok := s.records[f.Fingerprint]; ok && !old.ended && !supersedes(f, old.FlowRecord) {
+	if old, ok := s.records[added.Fingerprint]; ok && !old.ended && !supersedes(added, old.FlowRecord) {
 		old.lastSeen = now.UnixNano()
 		return
 	}
-	s.records[f.Fingerprint] = &record{FlowRecord: f, lastSeen: now.UnixNano()}
+	s.records[added.Fingerprint] = &record{FlowRecord: added, lastSeen: now.UnixNano()}
 }
 
+// supersedes reports whether Put replaces record b of an open flow by a. The rule
+// does not depend on the order of arrival, so that instances with the same records
+// agree on the owner.
 func supersedes(a, b carawaycart.FlowRecord) bool {
 	if a.Revision != b.Revision {
 		return a.Revision > b.Revision
@@ -108,7 +113,7 @@
 	return a.OpenedUnix < b.OpenedUnix
 }
 
-// Len returns the number of records.
+// Len returns the number of records, including those of ended flows.
 func (r *Records) Len() int {
 	n := 0
 	for i := range r.shards {
@@ -121,16 +126,22 @@
 }
 
 // Retention determines how long a record is retained. The zero value expires the
-// record immediately.
+// record immediately, whether its flow is open or ended. Any other value retains
+// the record of an ended flow for endedRetention.
 type Retention struct {
-	Idle  time.Duration // idle timeout, after which the flow counts as ended
-	Since time.Time     // earliest start of the idle time
-	Hold  bool          // disables the idle timeout
+	// Idle is the time without packets after which the record of an open flow
+	// expires.
+	Idle time.Duration
+	// Since is the earliest start of the idle time. The zero time counts from the
+	// last packet.
+	Since time.Time
+	// Hold disables the idle timeout of open flows.
+	Hold bool
 }
 
 // Expire deletes the records whose retention is over at now, appends them to dst
-// and returns the extended slice. Retention is called for each record with its
-// shard locked.
+// and returns the extended slice. It calls retention for each record with the lock
+// of a shard held, so retention must not call methods of r.
 func (r *Records) Expire(dst []carawaycart.FlowRecord, now time.Time, retention func(*carawaycart.FlowRecord) Retention) []carawaycart.FlowRecord {
 	for i := range r.shards {
 		s := &r.shards[i]
@@ -146,6 +157,7 @@
 	return dst
 }
 
+// expired reports whether retention t of the record is over at now.
 func (r *record) expired(now time.Time, t Retention) bool {
 	if t == (Retention{}) {
 		return true
@@ -157,8 +169,9 @@
 	return !t.Hold && now.UnixNano()-lastSeen >= int64(t.Idle)
 }
 
-// Append appends to dst the records of open flows for which keep is true, and
-// returns the extended slice.
+// Append appends to dst the records of open flows for which keep returns true, and
+// returns the extended slice. It calls keep with the lock of a shard held, so keep
+// must not call methods of r.
 func (r *Records) Append(dst []carawaycart.FlowRecord, keep func(*carawaycart.FlowRecord) bool) []carawaycart.FlowRecord {
 	for i := range r.shards {
 		s := &r.shards[i]
--- a/core/flow/router.go
+++ b/core/flow/router.go
@@ -11,12 +11,12 @@
 // Router decides how one instance handles packets. It is safe for concurrent
 // use.
 type Router struct {
-	board   *board.Board
+	board   *board.Board // configuration, members and endpoint statuses of the instance
 	records *Records
 }
 
-// NewRouter returns a router that reads its state from b and stores flow records
-// in r.
+// NewRouter returns the router of the instance whose state is b and whose flow
+// records are r.
 func NewRouter(b *board.Board, r *Records) *Router {
 	return &Router{board: b, records: r}
 }
@@ -59,8 +59,9 @@
 	return carawaycart.Decision{Verdict: carawaycart.VerdictRelay, Instance: i}
 }
 
-// decideEstablished decides a packet of an established flow in a dirty or guarded
-// slot.
+// decideEstablished decides a packet other than the first of a flow, in a slot that
+// is not clean. The keeper decides it; if it was relayed, a replica may decide it
+// too, since an instance with other members may regard that replica as the keeper.
 func (r *Router) decideEstablished(view *board.View, route *board.ServiceRoute, slot board.Slot, index carawaycart.SlotIndex,
 	f carawaycart.Fingerprint, p *carawaycart.Packet, now time.Time,
 ) carawaycart.Decision {
@@ -78,13 +79,15 @@
 		return forward(owner)
 	}
 	if slot.Base != slot.Current {
+		// The base can be replaced once it has received no such packet for a time.
 		route.NoteBase(index, now)
 	}
 	return forward(slot.Base.ID)
 }
 
-// decideFirst decides the first packet of a flow. Dropping the packet is safe
-// because the caller retransmits it.
+// decideFirst decides the first packet of a flow. Only the keeper admits the flow.
+// It drops the packet if it cannot choose an owner on which all instances agree;
+// this is safe because the caller retransmits the packet.
 func (r *Router) decideFirst(view *board.View, route *board.ServiceRoute, slot board.Slot,
 	f carawaycart.Fingerprint, relayed bool, now time.Time,
 ) carawaycart.Decision {
@@ -103,25 +106,26 @@
 		}
 		r.records.Forget(f)
 	}
-	gate := slot.Current.Gate()
-	if gate == nil {
+	limiter := slot.Current.Gate()
+	if limiter == nil {
+		// The instance has not taken over as keeper of the endpoint yet.
 		return drop(carawaycart.CauseNotReady)
 	}
 	stable, baseStable := route.Stable(f)
 	if !stable {
 		return r.decideFirstUnstable(slot, baseStable, now)
 	}
-	if view.Config.Accepting(slot.Current.ID) && gate.AdmitFlow(now) {
+	if view.Config.Accepting(slot.Current.ID) && limiter.AdmitFlow(now) {
 		return r.openFlow(view, route, slot, slot.Current, f, now)
 	}
 	if slot.Base == slot.Current {
-		// Until all instances know that the endpoint is guarded, they forward
-		// packets of the clean slot directly, bypassing the keeper.
-		if spilloverStart, ok := gate.SpilloverStart(); !ok || now.Before(spilloverStart) {
+		// Instances that do not know yet that the endpoint is guarded forward later
+		// packets of the slot to its base, bypassing the keeper.
+		if spilloverStart, ok := limiter.SpilloverStart(); !ok || now.Before(spilloverStart) {
 			return drop(carawaycart.CauseSpreading)
 		}
 	}
-	target := r.spillover(view, route, slot.Current, f)
+	target := r.spilloverTarget(view, route, slot.Current, f)
 	if target == nil {
 		return drop(carawaycart.CauseNoCapacity)
 	}
@@ -129,8 +133,10 @@
 }
 
 // decideFirstUnstable decides the first packet of a flow whose slot has changed so
-// recently that some instances may use the previous table. It admits the flow to
-// the base if both tables agree that the base owns unrecorded flows.
+// recently that some instances may use an older table. It admits the flow only to
+// the base, and only if that is also the current endpoint and baseStable states
+// that it is the base in all recent tables, because then no instance needs a
+// record of the flow.
 func (r *Router) decideFirstUnstable(slot board.Slot, baseStable bool, now time.Time) carawaycart.Decision {
 	if baseStable && slot.Base == slot.Current && slot.Base.Gate().AdmitFlow(now) {
 		return forward(slot.Base.ID)
@@ -138,8 +144,8 @@
 	return drop(carawaycart.CauseSpreading)
 }
 
-// openFlow forwards the first packet of flow f to owner and records the flow
-// unless owner is the base of its slot.
+// openFlow forwards the first packet of flow f to owner. It records the flow unless
+// owner is the base of its slot, which owns all flows without a record.
 func (r *Router) openFlow(view *board.View, route *board.ServiceRoute, slot board.Slot, owner *board.Entry,
 	f carawaycart.Fingerprint, now time.Time,
 ) carawaycart.Decision {
@@ -155,9 +161,11 @@
 	return d
 }
 
-// spillover returns the open endpoint of the service, other than exclude, with
-// the highest rendezvous score for flow f. It returns nil if there is none.
-func (r *Router) spillover(view *board.View, route *board.ServiceRoute, exclude *board.Entry, f carawaycart.Fingerprint) *board.Entry {
+// spilloverTarget returns the endpoint that receives flow f because endpoint
+// exclude may not: the one with the highest rendezvous score for f among the other
+// endpoints of the service that are open and accept new flows. It returns nil if
+// there is none.
+func (r *Router) spilloverTarget(view *board.View, route *board.ServiceRoute, exclude *board.Entry, f carawaycart.Fingerprint) *board.Entry {
 	var best *board.Entry
 	var bestScore uint64
 	for _, e := range route.Entries {
--- a/core/flow/router_test.go
+++ b/core/flow/router_test.go
@@ -20,7 +20,7 @@
 )
 
 // fixture is a set of instances that apply the same sequence of configurations,
-// each at its own time.
+// each at its own time. Its one service is "desk" with address address.
 type fixture struct {
 	config  *config.Configuration
 	members []carawaycart.Member
@@ -65,7 +65,7 @@
 		f.boards[id].SetMembers(f.members)
 		f.applyConfig(id, start)
 	}
-	f.openGates(start)
+	f.setLimiters(start)
 	return f
 }
 
@@ -102,9 +102,9 @@
 	f.boards[id].StayAwake(now.Add(time.Hour))
 }
 
-// openGates installs the gates of all endpoints at their keepers. The endpoints
-// are past their warm-up.
-func (f *fixture) openGates(now time.Time) {
+// setLimiters makes each keeper limit its endpoints. All endpoints are past their
+// warm-up and open.
+func (f *fixture) setLimiters(now time.Time) {
 	for id, b := range f.boards {
 		for e := range f.config.Endpoints {
 			entry := b.Entry(e)
@@ -119,7 +119,7 @@
 	f.setStatus(carawaycart.EndpointOpen, false)
 }
 
-// setStatus sets the same status of all endpoints at all instances.
+// setStatus sets the status of all endpoints at all instances.
 func (f *fixture) setStatus(state carawaycart.EndpointState, guarded bool) {
 	for _, b := range f.boards {
 		for e := range f.config.Endpoints {
@@ -128,8 +128,8 @@
 	}
 }
 
-// send passes a packet from the fabric to instance id and, if it is relayed, to
-// the next instance. It copies a new record to the replicas.
+// send passes packet p to instance id and, if that relays it, to the next instance.
+// It copies a new record to the replicas and returns the last decision.
 func (f *fixture) send(id carawaycart.InstanceID, p carawaycart.Packet, now time.Time) carawaycart.Decision {
 	d := f.routers[id].Decide(&p, now)
 	if d.Verdict == carawaycart.VerdictRelay {
@@ -143,6 +143,7 @@
 	return d
 }
 
+// replicate copies the record of the flow of p from keeper id to the replicas.
 func (f *fixture) replicate(id carawaycart.InstanceID, p *carawaycart.Packet, now time.Time) {
 	record, _ := f.records[id].Get(p.Key.Fingerprint())
 	route := f.boards[id].View().Service(address)
@@ -171,12 +172,13 @@
 
 func (f *fixture) instanceID(i int) carawaycart.InstanceID { return f.members[i%len(f.members)].ID }
 
+// packet returns a packet of flow i; each flow has its own caller.
 func packet(i int, kind carawaycart.PacketKind) carawaycart.Packet {
 	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 51, 100, byte(i / 50000)}), uint16(10000+i%50000))
 	return carawaycart.Packet{Key: carawaycart.FlowKey{Caller: caller, Service: address, Protocol: carawaycart.TCP}, Kind: kind}
 }
 
-// openFlows opens flows through all instances and returns their owners.
+// openFlows opens n flows, spread over all instances, and returns their owners.
 func (f *fixture) openFlows(t *testing.T, n int, now time.Time) []carawaycart.EndpointID {
 	t.Helper()
 	owners := make([]carawaycart.EndpointID, n)
@@ -207,6 +209,8 @@
 	}
 }
 
+// Guards against memory use in steady state: flows of clean slots must reach their
+// owner without any record.
 func TestCleanSlotsNeedNoRecords(t *testing.T) {
 	f := newFixture(t, 8, 14)
 	f.checkOwners(t, "steady", f.openFlows(t, 500, start), start)
@@ -217,6 +221,9 @@
 	}
 }
 
+// Guards against flows that are forwarded to another endpoint, and new flows on the
+// leaving one, while instances apply the mark of a leaving endpoint at different
+// times.
 func TestDrainKeepsFlows(t *testing.T) {
 	f := newFixture(t, 8, 14)
 	owners := f.openFlows(t, 500, start)
@@ -268,6 +275,8 @@
 	}
 }
 
+// Guards against recorded flows that are lost with their keeper: the replica that
+// becomes keeper must forward by its copy of the record.
 func TestKeeperFailureKeepsRecordedFlows(t *testing.T) {
 	f := newFixture(t, 8, 14)
 	f.markLeaving(t, "e03")
@@ -290,6 +299,8 @@
 	f.checkOwners(t, "after the keeper failed", owners, now)
 }
 
+// Guards against flows with two owners: an instance that cannot know the owner must
+// drop the first packet instead of choosing one.
 func TestFirstPacketIsDroppedWhenOwnerIsUncertain(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -350,6 +361,7 @@
 	}
 }
 
+// Guards against relay loops between instances that regard each other as the keeper.
 func TestRelayedPacketIsNotRelayedAgain(t *testing.T) {
 	f := newFixture(t, 8, 14)
 	f.setStatus(carawaycart.EndpointOpen, true)
@@ -364,6 +376,9 @@
 	}
 }
 
+// Guards against packets of flows that were admitted to another endpoint reaching
+// the current endpoint of their slot, and against more flows on a cold endpoint
+// than its profile allows.
 func TestSpilledFlowsKeepTheirOwner(t *testing.T) {
 	f := newFixture(t, 8, 14)
 	var cold carawaycart.EndpointID = "e05"
@@ -390,9 +405,8 @@
 	f.checkOwners(t, "after an instance failed", owners, now)
 }
 
-// Guards against records that outlive the time their zone was in service: when a
-// zone is taken out and put back in, packets of its earlier flows must not be
-// forwarded by their old records.
+// Guards against records that are retained after their zone is taken out: once the
+// zone is back in service, packets of its earlier flows would be forwarded by them.
 func TestRecordsOfZoneTakenOutExpire(t *testing.T) {
 	r := flow.NewRecords()
 	r.Put(carawaycart.FlowRecord{Service: "desk", Fingerprint: 1, Endpoint: "e01"}, start)
@@ -404,6 +418,8 @@
 	}
 }
 
+// Guards against records of live flows that expire where no packets arrive: at
+// replicas, and at a keeper before its takeover.
 func TestRetention(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -411,8 +427,8 @@
 		after     time.Duration
 		want      int
 	}{
-		{"before the idle limit", flow.Retention{Idle: time.Minute}, 59 * time.Second, 1},
-		{"after the idle limit", flow.Retention{Idle: time.Minute}, time.Minute, 0},
+		{"before the idle timeout", flow.Retention{Idle: time.Minute}, 59 * time.Second, 1},
+		{"after the idle timeout", flow.Retention{Idle: time.Minute}, time.Minute, 0},
 		{"no idle timeout at replicas, which receive no packets", flow.Retention{Idle: time.Minute, Hold: true}, time.Hour, 1},
 		{"idle time counts from the takeover by a new keeper", flow.Retention{Idle: time.Minute, Since: start.Add(50 * time.Second)}, time.Minute, 1},
 	} {
