--- a/core/config/apply.go
+++ b/core/config/apply.go
@@ -317,5 +317,5 @@
 		return
 	}
 	t = slot.Reassign(t, candidates)
-	c.Slots[id] = slot.Rebase(t, func(e carawaycart.EndpointID) bool { return !c.Holding(e) })
+	c.Slots[id] = slot.ReplaceRemovedBases(t, func(e carawaycart.EndpointID) bool { return !c.Holding(e) })
 }
--- a/core/slot/table.go
+++ b/core/slot/table.go
@@ -9,11 +9,13 @@
 )
 
 const (
+	// minSlots and maxSlots bound the number of slots of a service.
 	minSlots = 64
 	maxSlots = 1 << 15
 
-	// With 64 slots, rounding a share changes the load of an endpoint by at most
-	// 1/64.
+	// slotsPerEndpoint is the minimum mean number of slots per endpoint, as far as
+	// maxSlots allows. With 64 slots, rounding a share changes the load of an
+	// endpoint by at most 1/64.
 	slotsPerEndpoint = 64
 )
 
@@ -23,7 +25,7 @@
 	Weight int // relative share of slots; must be positive
 }
 
-// Count returns the number of slots of a service with n endpoints.
+// Count returns the number of slots of a service with n endpoints, a power of two.
 func Count(n int) int {
 	count := minSlots
 	for count < n*slotsPerEndpoint && count < maxSlots {
@@ -58,8 +60,9 @@
 	}
 }
 
-// Grow returns t doubled until it has at least count slots. Every flow keeps its
-// base and current endpoints. The result may share memory with t.
+// Grow returns t doubled until it has at least count slots; t must have at least
+// one slot. Every flow keeps its base and current endpoints. The result may share
+// memory with t.
 func Grow(t carawaycart.SlotTable, count int) carawaycart.SlotTable {
 	for len(t.Base) < count {
 		t.Base = append(t.Base, t.Base...)
@@ -84,9 +87,9 @@
 	return compact(r.table)
 }
 
-// Rebase returns a table in which the base of every slot for which removed(base)
-// is true is replaced by the current endpoint. The table t is not modified.
-func Rebase(t carawaycart.SlotTable, removed func(carawaycart.EndpointID) bool) carawaycart.SlotTable {
+// ReplaceRemovedBases returns a table in which every base for which removed returns
+// true is replaced by the current endpoint of its slot. The table t is not modified.
+func ReplaceRemovedBases(t carawaycart.SlotTable, removed func(carawaycart.EndpointID) bool) carawaycart.SlotTable {
 	t = Clone(t)
 	for i, b := range t.Base {
 		if b != carawaycart.NoMember && removed(t.Members[b]) {
@@ -96,9 +99,9 @@
 	return compact(t)
 }
 
-// Retain returns a table without the endpoints for which retained is false. A slot
-// that loses one of its two endpoints gets the other one as base and current; a
-// slot that loses both has no endpoint. The table t is not modified.
+// Retain returns a table without the endpoints for which retained returns false. A
+// slot that loses one of its two endpoints gets the other one as base and current;
+// a slot that loses both has no endpoint. The table t is not modified.
 func Retain(t carawaycart.SlotTable, retained func(carawaycart.EndpointID) bool) carawaycart.SlotTable {
 	t = Clone(t)
 	keeps := func(m uint16) bool { return m != carawaycart.NoMember && retained(t.Members[m]) }
@@ -117,8 +120,9 @@
 }
 
 // ReplaceBase returns a table in which the base of the given slots is replaced by
-// their current endpoint. Slots whose base and current endpoints differ from the
-// arguments, and indices out of range, are ignored. The table t is not modified.
+// their current endpoint. A slot whose base is not the argument base, or whose
+// current endpoint is not the argument current, is left unchanged, and an index out
+// of range is ignored. The table t is not modified.
 func ReplaceBase(t carawaycart.SlotTable, base, current carawaycart.EndpointID, slots []carawaycart.SlotIndex) carawaycart.SlotTable {
 	t = Clone(t)
 	b := slices.Index(t.Members, base)
@@ -145,7 +149,8 @@
 	return n
 }
 
-// compact removes the members that no slot refers to. It renumbers t in place.
+// compact returns t without the members that no slot refers to. It modifies the
+// slots of t, which hold member indices, in place.
 func compact(t carawaycart.SlotTable) carawaycart.SlotTable {
 	used := make([]bool, len(t.Members))
 	for i := range t.Base {
@@ -173,6 +178,7 @@
 	return t
 }
 
+// renumber replaces each old member index in slots by its new one, index[old].
 func renumber(slots, index []uint16) {
 	for i, m := range slots {
 		if m != carawaycart.NoMember {
@@ -181,15 +187,18 @@
 	}
 }
 
-// reassignment is the working state of Reassign.
+// reassignment is the working state of Reassign. Candidates are numbered from zero
+// in the order of their IDs.
 type reassignment struct {
 	table       carawaycart.SlotTable
-	memberIndex []uint16          // member index of each candidate
-	hash        []rendezvous.Name // hash of each candidate
-	remaining   []int             // slots still to be assigned to each candidate
-	candidateOf map[uint16]int    // candidate with each member index
+	memberIndex []uint16          // index in table.Members of each candidate
+	hashes      []rendezvous.Name // hash of the ID of each candidate
+	remaining   []int             // number of slots still to be assigned to each candidate
+	candidateOf map[uint16]int    // number of the candidate with each member index
 }
 
+// newReassignment returns the state before the first slot is assigned. It adds the
+// candidates that t does not contain to the members of the new table.
 func newReassignment(t carawaycart.SlotTable, candidates []Candidate) *reassignment {
 	r := &reassignment{table: Clone(t), candidateOf: make(map[uint16]int, len(candidates))}
 	sorted := slices.Clone(candidates)
@@ -206,15 +215,15 @@
 			r.table.Members = append(r.table.Members, c.ID)
 		}
 		r.memberIndex = append(r.memberIndex, m)
-		r.hash = append(r.hash, rendezvous.NewName(string(c.ID)))
+		r.hashes = append(r.hashes, rendezvous.NewName(string(c.ID)))
 		r.candidateOf[m] = i
 	}
 	return r
 }
 
-// retainCurrent leaves to each candidate the slots that it has, up to its quota:
-// clean slots before dirty ones, then those with the highest rendezvous score. It
-// frees all other slots.
+// retainCurrent leaves each candidate the current endpoint of the slots that it has,
+// up to its quota: it prefers clean slots to dirty ones, and then those with the
+// highest rendezvous score. It leaves all other slots without a current endpoint.
 func (r *reassignment) retainCurrent() {
 	held := make([][]int, len(r.memberIndex))
 	for s, m := range r.table.Current {
@@ -247,13 +256,14 @@
 	return 1
 }
 
+// score returns the rendezvous score of candidate c for slot s.
 func (r *reassignment) score(c, s int) uint64 {
-	return rendezvous.Score(r.hash[c], rendezvous.Key(s))
+	return rendezvous.Score(r.hashes[c], rendezvous.Key(s))
 }
 
-// assignFree assigns each free slot to its base if that is a candidate with quota
-// left, and otherwise to the candidate with quota left that has the highest
-// rendezvous score.
+// assignFree assigns each slot without a current endpoint to its base if that is a
+// candidate with quota left, and otherwise to the candidate with quota left that
+// has the highest rendezvous score.
 func (r *reassignment) assignFree() {
 	for s, m := range r.table.Current {
 		if m != carawaycart.NoMember {
@@ -268,6 +278,8 @@
 	}
 }
 
+// bestCandidate returns the candidate with quota left that has the highest
+// rendezvous score for slot s, or 0 if no candidate has quota left.
 func (r *reassignment) bestCandidate(s int) int {
 	best, found := 0, false
 	var bestScore uint64
--- a/core/slot/table_test.go
+++ b/core/slot/table_test.go
@@ -12,6 +12,7 @@
 	"carawaycart/core/slot"
 )
 
+// candidates returns n candidates, e00 and so on, of the given weight.
 func candidates(n, weight int) []slot.Candidate {
 	var c []slot.Candidate
 	for i := range n {
@@ -20,6 +21,7 @@
 	return c
 }
 
+// slotCounts returns of how many slots each endpoint is the current one.
 func slotCounts(t carawaycart.SlotTable) map[carawaycart.EndpointID]int {
 	n := make(map[carawaycart.EndpointID]int)
 	for _, c := range t.Current {
@@ -35,7 +37,7 @@
 		name       string
 		slots      int
 		candidates []slot.Candidate
-		want       map[carawaycart.EndpointID][2]int // least and most slots
+		want       map[carawaycart.EndpointID][2]int // minimum and maximum number of slots
 	}{
 		{"equal", 1024, candidates(4, 10), map[carawaycart.EndpointID][2]int{"e00": {256, 256}, "e03": {256, 256}}},
 		{"uneven division", 64, candidates(3, 1), map[carawaycart.EndpointID][2]int{"e00": {21, 22}, "e02": {21, 22}}},
@@ -54,6 +56,7 @@
 	}
 }
 
+// Guards against flows of other endpoints that move when an endpoint is removed.
 func TestReassignMovesOnlySlotsOfRemovedEndpoint(t *testing.T) {
 	before := slot.Reassign(slot.New(1024), candidates(14, 4200))
 	after := slot.Reassign(before, candidates(13, 4200))
@@ -72,6 +75,8 @@
 }
 
 func TestRetain(t *testing.T) {
+	// Half of the slots are clean with e00, the others have base e01 and current
+	// endpoint e00.
 	table := slot.Reassign(slot.Reassign(slot.New(64), candidates(2, 1)), candidates(1, 1))
 	for _, test := range []struct {
 		name     string
@@ -100,6 +105,7 @@
 	}
 }
 
+// Guards against flows that get another base when the number of slots grows.
 func TestGrowKeepsOwners(t *testing.T) {
 	before := slot.Reassign(slot.New(64), candidates(3, 1))
 	after := slot.Grow(slot.Clone(before), 256)
@@ -111,6 +117,8 @@
 	}
 }
 
+// Guards against a base that is replaced by a request computed from an older table,
+// in which the slot had other endpoints.
 func TestReplaceBaseChangesOnlyTheGivenPair(t *testing.T) {
 	table := slot.Reassign(slot.Reassign(slot.New(64), candidates(3, 1)), candidates(2, 1))
 	all := make([]carawaycart.SlotIndex, 64)
@@ -119,7 +127,7 @@
 	}
 	dirty := slot.Dirty(table)
 	if got := slot.Dirty(slot.ReplaceBase(table, "e01", "e00", all)); got != dirty {
-		t.Errorf("got %d dirty slots after replacing the base of a pair without slots, want %d", got, dirty)
+		t.Errorf("got %d dirty slots after a replacement whose endpoints no slot has, want %d", got, dirty)
 	}
 	table = slot.ReplaceBase(table, "e02", "e00", all)
 	table = slot.ReplaceBase(table, "e02", "e01", append(all, 5000))
@@ -130,7 +138,7 @@
 
 // Guards against uneven shares and lost bases: after any sequence of changes, each
 // candidate is within one slot of its share, and the base of a slot never
-// changes, also when it is no longer a candidate.
+// changes, even if that endpoint is no longer a candidate.
 func TestReassignProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := slot.New(256)
