--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -11,10 +11,10 @@
 // This file checks the claim protocol exhaustively on a small model. Three attempts
 // at one keyed request reach the keeper of its key through two entry instances.
 // The test explores every interleaving of their steps, with the loss of at most
-// one copy to the replica or of its reply, and with a crash of the keeper before
-// any step. After the crash the replica is the keeper and has no replica. The
-// second entry instance may have a different view of the members, in which the
-// replica is the keeper.
+// one copy to the replica or of the reply to it, and with at most one crash, of the
+// keeper, before any step. After the crash the replica is the keeper and has no
+// replica. The second entry instance may have a different view of the members, in
+// which the replica is the keeper until the crash.
 
 // choiceSequence replays a prefix of choices, chooses 0 from there on, and records
 // the number of options of each choice.
@@ -47,8 +47,10 @@
 	return nil
 }
 
+// stage is the next step of an attempt.
 type stage int
 
+// The stages of an attempt, in their order.
 const (
 	stageBegin stage = iota
 	stageCopy
@@ -61,20 +63,21 @@
 type attemptState struct {
 	claim           carawaycart.Claim
 	replicaIsKeeper bool         // the entry instance regards the replica as the keeper
-	keeper          *claim.Table // received the claim
-	replica         *claim.Table // receives a copy of the claim; nil if there is none
+	keeper          *claim.Table // table of the keeper that received the claim
+	replica         *claim.Table // table that receives a copy of the claim; nil if there is none
 	stage           stage
 	ran             bool                // the request was run by an endpoint
 	outcome         carawaycart.Outcome // outcome returned to the caller
 }
 
-// model is the state of the modelled system.
+// model is the state of the modelled system. A table stands for the instance that
+// holds it.
 type model struct {
 	choices     *choiceSequence
 	keeper      *claim.Table
 	replica     *claim.Table // nil after the crash
-	crashed     bool
-	lossAllowed bool // the loss of one copy has not been used up
+	crashed     bool         // the first keeper has crashed
+	lossAllowed bool         // no copy or reply has been lost yet
 	failed      map[*claim.Table]bool
 	inFlight    []carawaycart.Claim // updates in flight to the replica
 	now         time.Time
@@ -107,6 +110,7 @@
 	}
 }
 
+// begin sends the claim of attempt a to the keeper and applies the verdict.
 func (m *model) begin(a *attemptState) {
 	a.keeper, a.replica = m.keeper, m.replica
 	if a.replicaIsKeeper && !m.crashed {
@@ -127,13 +131,13 @@
 }
 
 // copy sends a copy of the claim to the replica. The copy, or the reply to it,
-// may be lost.
+// may be lost. The keeper admits the attempt only if the replica confirms the copy.
 func (m *model) copy(a *attemptState) {
 	const (
 		delivered = iota
-		lostBefore
-		lostAfter
-		deliveries
+		copyLost
+		replyLost
+		deliveryCount
 	)
 	if a.replica == nil {
 		a.stage = stageRun
@@ -141,13 +145,13 @@
 	}
 	delivery := delivered
 	if m.failed[a.replica] {
-		delivery = lostBefore
+		delivery = copyLost
 	} else if m.lossAllowed {
-		delivery = m.choices.choose(deliveries)
+		delivery = m.choices.choose(deliveryCount)
 	}
 	conflict := false
 	var held carawaycart.Claim
-	if delivery != lostBefore {
+	if delivery != copyLost {
 		held, conflict = a.replica.Merge(withState(a.claim, carawaycart.ClaimPending), m.now)
 	}
 	if delivery == delivered && !conflict {
@@ -161,6 +165,7 @@
 	a.stage = stageEnded
 	a.outcome = carawaycart.OutcomeNotRun
 	if delivery == delivered {
+		// The replica holds the claim of another attempt, which may have run.
 		a.keeper.Merge(held, m.now)
 		a.outcome = carawaycart.OutcomeUnknown
 	}
@@ -182,6 +187,8 @@
 	m.inFlight = m.inFlight[1:]
 }
 
+// runModel runs the model with the given choices until all attempts have ended, and
+// returns the attempts.
 func runModel(choices *choiceSequence) []*attemptState {
 	m := &model{
 		choices: choices, keeper: claim.NewTable(), replica: claim.NewTable(), lossAllowed: true,
@@ -210,16 +217,18 @@
 	}
 }
 
+// Guards against a request that runs twice, and against an attempt that is reported
+// as not run although it ran.
 func TestClaimProtocolInAllInterleavings(t *testing.T) {
-	modelRuns, answered, refused := 0, 0, 0
+	modelRuns, answered, notRun := 0, 0, 0
 	for prefix := []int{}; prefix != nil; {
 		choices := &choiceSequence{prefix: prefix}
 		attempts := runModel(choices)
 		modelRuns++
-		runs := 0
+		requestRuns := 0
 		for _, a := range attempts {
 			if a.ran {
-				runs++
+				requestRuns++
 			}
 			if a.outcome == carawaycart.OutcomeNotRun && a.ran {
 				t.Fatalf("choices %v: attempt %s was reported as not run but ran", choices.chosen, a.claim.Attempt)
@@ -228,16 +237,16 @@
 			case carawaycart.OutcomeAnswered:
 				answered++
 			case carawaycart.OutcomeNotRun:
-				refused++
+				notRun++
 			}
 		}
-		if runs > 1 {
-			t.Fatalf("choices %v: the request ran %d times", choices.chosen, runs)
+		if requestRuns > 1 {
+			t.Fatalf("choices %v: the request ran %d times", choices.chosen, requestRuns)
 		}
 		prefix = choices.next()
 	}
-	if answered == 0 || refused == 0 {
-		t.Errorf("got %d answered and %d refused attempts, want some of both", answered, refused)
+	if answered == 0 || notRun == 0 {
+		t.Errorf("got %d attempts answered and %d not run, want some of both", answered, notRun)
 	}
-	t.Logf("%d runs of the model, %d attempts answered, %d refused", modelRuns, answered, refused)
+	t.Logf("%d runs of the model, %d attempts answered, %d not run", modelRuns, answered, notRun)
 }
--- a/core/claim/table.go
+++ b/core/claim/table.go
@@ -11,15 +11,15 @@
 	"carawaycart/internal/rendezvous"
 )
 
-const shards = 32
+const shardCount = 32
 
 // Verdict is the keeper's answer to an attempt at a keyed request.
 type Verdict uint8
 
 // The verdicts on an attempt.
 const (
-	Refused   Verdict = iota // the request was not run; the keeper cannot record the claim now
-	Run                      // the attempt may be run
+	Refused   Verdict = iota // the attempt must not be run; another one may be
+	Run                      // the attempt may be run; its claim is recorded
 	Known                    // the claim of an earlier attempt exists and is returned
 	Misused                  // the key was used for a different request
 	Uncertain                // the claim of an earlier attempt may have been lost
@@ -28,7 +28,7 @@
 // Table is the sharded map of the claims of one instance by idempotency key. It is
 // safe for concurrent use.
 type Table struct {
-	shards [shards]shard
+	shards [shardCount]shard
 
 	mu     sync.Mutex
 	losses []loss
@@ -39,12 +39,12 @@
 	claims map[carawaycart.IdempotencyKey]carawaycart.Claim
 }
 
-// loss is a loss of several instances before their claims were replicated again.
-// Claims of which all holders are among them are lost.
+// loss is the failure of several instances before their claims were replicated
+// again. Claims of which all holders are among these instances are lost.
 type loss struct {
-	before *member.View // members before the loss
+	before *member.View // members before the failure
 	lost   map[carawaycart.InstanceID]struct{}
-	until  time.Time // when the last of the lost claims has expired
+	until  time.Time // time at which all lost claims have expired
 }
 
 // NewTable returns an empty table.
@@ -61,13 +61,14 @@
 func Key(k carawaycart.IdempotencyKey) rendezvous.Key { return rendezvous.NewKey(string(k)) }
 
 func (t *Table) shard(k carawaycart.IdempotencyKey) *shard {
-	return &t.shards[xxhash.Sum64String(string(k))%shards]
+	return &t.shards[xxhash.Sum64String(string(k))%shardCount]
 }
 
 // Begin records attempt c at the keeper of its key at now. With Run, the claim is
-// stored as pending and returned. With Known, the stored claim of an earlier
-// attempt is returned. An attempt that was abandoned as not run is never admitted
-// again before its deadline.
+// stored as pending and returned; a repeated call for a pending attempt returns Run
+// again. With Known, the stored claim of an earlier attempt is returned. With any
+// other verdict nothing is stored and the zero claim is returned. An attempt whose
+// stored claim is not run is refused until its deadline.
 func (t *Table) Begin(c carawaycart.Claim, now time.Time) (Verdict, carawaycart.Claim) {
 	s := t.shard(c.Key)
 	s.mu.Lock()
@@ -84,7 +85,8 @@
 			return Known, held
 		}
 		if held.Attempt == c.Attempt {
-			// Replicas may still receive the update that this attempt is not run.
+			// Replicas may still receive the update that this attempt is not run, which
+			// would replace the claim of a repeated run.
 			return Refused, carawaycart.Claim{}
 		}
 	} else if t.uncertain(c.Key, now) {
@@ -95,8 +97,10 @@
 	return Run, c
 }
 
-// Merge merges a claim from another instance at now. If a claim of another attempt
-// conflicts with c, Merge leaves it in place and returns it and true.
+// Merge merges claim c from another instance at now. Claims of two attempts
+// conflict unless the stored one has expired or either is not run. If the stored
+// claim conflicts with c, Merge leaves it in place and returns it and true.
+// Otherwise it returns the zero claim and false.
 func (t *Table) Merge(c carawaycart.Claim, now time.Time) (carawaycart.Claim, bool) {
 	s := t.shard(c.Key)
 	s.mu.Lock()
@@ -118,8 +122,9 @@
 	return held, true
 }
 
-// precedence returns the rank of a state among those of one attempt. Merge replaces
-// a state only by one of higher rank, which says more about the outcome.
+// precedence returns the rank of a state among those of one attempt; answered has
+// the highest. Merge replaces a state only by one of higher rank, which says more
+// about the outcome.
 func precedence(s carawaycart.ClaimState) int {
 	switch s {
 	case carawaycart.ClaimPending:
@@ -145,8 +150,9 @@
 	return c, true
 }
 
-// Append appends to dst the claims for which keep is true, and returns the extended
-// slice.
+// Append appends to dst the claims for which keep returns true, and returns the
+// extended slice. It includes expired claims that Expire has not deleted yet. It
+// calls keep with the lock of a shard held, so keep must not call methods of t.
 func (t *Table) Append(dst []carawaycart.Claim, keep func(*carawaycart.Claim) bool) []carawaycart.Claim {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -161,9 +167,9 @@
 	return dst
 }
 
-// Abandon sets the pending claims of the entry instances for which failed is true
-// to unknown, because such an instance may have sent the request to an endpoint
-// before it failed.
+// Abandon sets the state of the pending claims of entry instances for which failed
+// returns true to unknown, because such an instance may have sent the request to an
+// endpoint before it failed.
 func (t *Table) Abandon(failed func(carawaycart.InstanceID) bool) {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -215,8 +221,9 @@
 }
 
 // NoteLoss records that the lost instances, members of the view before, failed
-// together. Begin answers Uncertain for the keys of which all holders were lost,
-// until the given time.
+// before their claims could be replicated again. Until the given time, Begin
+// returns Uncertain for a key of which all holders were lost, unless it finds a
+// claim that has not expired.
 func (t *Table) NoteLoss(before *member.View, lost []carawaycart.InstanceID, until time.Time) {
 	l := loss{before: before, lost: make(map[carawaycart.InstanceID]struct{}, len(lost)), until: until}
 	for _, id := range lost {
@@ -227,6 +234,8 @@
 	t.losses = append(t.losses, l)
 }
 
+// uncertain reports whether a claim of key k may have been lost and not expired yet
+// at now.
 func (t *Table) uncertain(k carawaycart.IdempotencyKey, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -238,6 +247,7 @@
 	return false
 }
 
+// covers reports whether all holders of key k were lost.
 func (l *loss) covers(k carawaycart.IdempotencyKey) bool {
 	h := l.before.Holders(Key(k))
 	if _, ok := l.lost[h.Keeper]; !ok {
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -13,6 +13,8 @@
 
 var start = time.Unix(1000, 0)
 
+// attempt returns the claim of attempt id at the keyed request "k", made through
+// instance i1.
 func attempt(id string) carawaycart.Claim {
 	return carawaycart.Claim{
 		Key: "k", Service: "desk", Digest: 1, Attempt: carawaycart.AttemptID(id), Entry: "i1", Deadline: start.Add(time.Hour),
@@ -24,6 +26,8 @@
 	return c
 }
 
+// Guards against running a request again when an earlier attempt may have run, and
+// against refusing one when no attempt ran.
 func TestBegin(t *testing.T) {
 	other := attempt("b")
 	other.Digest = 2
@@ -40,7 +44,7 @@
 		{"earlier attempt answered", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimAnswered)}, attempt("b"), 0, claim.Known},
 		{"earlier attempt unknown", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimUnknown)}, attempt("b"), 0, claim.Known},
 		{"earlier attempt not run", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimNotRun)}, attempt("b"), 0, claim.Run},
-		{"repeat of an abandoned attempt", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimNotRun)}, attempt("a"), 0, claim.Refused},
+		{"repeat of an attempt that was not run", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimNotRun)}, attempt("a"), 0, claim.Refused},
 		{"key of a different request", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimAnswered)}, other, 0, claim.Misused},
 		{"claim past its deadline", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimAnswered)}, attempt("b"), time.Hour, claim.Run},
 	} {
@@ -95,7 +99,9 @@
 	}
 }
 
-func TestAbandonedAttemptIsUnknown(t *testing.T) {
+// Guards against a second run of a request whose entry instance failed after it may
+// have sent the request to an endpoint.
+func TestPendingClaimOfFailedInstanceIsUnknown(t *testing.T) {
 	table := claim.NewTable()
 	table.Begin(attempt("a"), start)
 	table.Abandon(func(id carawaycart.InstanceID) bool { return id == "i1" })
@@ -105,6 +111,8 @@
 	}
 }
 
+// view returns a view of ready instances whose zones are the first letters of their
+// IDs.
 func view(ids ...string) *member.View {
 	var all []carawaycart.Member
 	for _, id := range ids {
