--- a/core/flow/router_test.go
+++ b/core/flow/router_test.go
@@ -111,9 +111,9 @@
 			if entry.Holders(b.Members()).Keeper != id {
 				continue
 			}
-			g := limit.NewGate(*entry.Endpoint(), f.config.Profiles["swift"], carawaycart.EndpointStatus{}, now.Add(-time.Hour))
-			g.Observe(carawaycart.Report{}, now.Add(-time.Hour))
-			entry.OpenGate(g, now)
+			limiter := limit.NewGate(*entry.Endpoint(), f.config.Profiles["swift"], carawaycart.EndpointStatus{}, now.Add(-time.Hour))
+			limiter.Observe(carawaycart.Report{}, now.Add(-time.Hour))
+			entry.OpenGate(limiter, now)
 		}
 	}
 	f.setStatus(carawaycart.EndpointOpen, false)
@@ -317,9 +317,9 @@
 		{"endpoint full, guard not yet known to all instances", func(f *fixture, _ *testing.T) {
 			for _, b := range f.boards {
 				b.Entries(func(e *board.Entry) {
-					if g := e.Gate(); g != nil {
-						g.Observe(carawaycart.Report{Shedding: true}, start)
-						g.Guard(false, start)
+					if limiter := e.Gate(); limiter != nil {
+						limiter.Observe(carawaycart.Report{Shedding: true}, start)
+						limiter.Guard(false, start)
 					}
 				})
 			}
@@ -383,9 +383,9 @@
 	f := newFixture(t, 8, 14)
 	var cold carawaycart.EndpointID = "e05"
 	for _, b := range f.boards {
-		if g := b.Entry(cold).Gate(); g != nil {
-			g.Observe(carawaycart.Report{Cold: true}, start)
-			g.Guard(false, start)
+		if limiter := b.Entry(cold).Gate(); limiter != nil {
+			limiter.Observe(carawaycart.Report{Cold: true}, start)
+			limiter.Guard(false, start)
 		}
 		b.Entry(cold).State("keeper", carawaycart.EndpointCold, true)
 	}
--- a/core/limit/budget.go
+++ b/core/limit/budget.go
@@ -7,31 +7,33 @@
 )
 
 const (
-	maxBudgetTokens = 10.0 // largest burst of retries, available after an idle period
-	percent         = 100.0
+	// maxBudgetTokens is the largest burst of retries. A new budget has this many
+	// tokens.
+	maxBudgetTokens = 10.0
+
+	percent = 100.0
 )
 
 // Budget limits retries to a ratio of the first attempts at requests. It is a token
-// bucket to which each first attempt adds the ratio. It is safe for concurrent
-// use.
+// bucket to which each first attempt adds the ratio and from which each retry takes
+// one token. It is safe for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
 	ratio  float64 // retries per first attempt
-	tokens float64
+	tokens float64 // retries that are available, at most maxBudgetTokens
 }
 
 // NewBudget returns a full budget that allows ratio retries per first attempt.
 func NewBudget(ratio float64) *Budget { return &Budget{ratio: ratio, tokens: maxBudgetTokens} }
 
-// Fresh adds the share of one first attempt to the budget.
+// Fresh records the first attempt at a request, which adds the ratio to the budget.
 func (b *Budget) Fresh() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.ratio, maxBudgetTokens)
 }
 
-// Retry withdraws one retry from the budget. It returns false if there is none
-// left.
+// Retry takes one retry from the budget and reports whether there was one.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/limit/gate_test.go
+++ b/core/limit/limiter_test.go
@@ -14,19 +14,22 @@
 	profile  = carawaycart.Profile{ColdFlows: 5, ColdRequests: 1, WarmupSeconds: 10}
 )
 
-func admitFlows(g *limit.Gate, attempts int, now time.Time) int {
+// admitFlows asks l to admit the given number of flows at now and returns how many
+// it admitted.
+func admitFlows(l *limit.Gate, attempts int, now time.Time) int {
 	n := 0
 	for range attempts {
-		if g.AdmitFlow(now) {
+		if l.AdmitFlow(now) {
 			n++
 		}
 	}
 	return n
 }
 
+// Guards against more flows than an endpoint can take in each of its states.
 func TestAdmitFlow(t *testing.T) {
-	warm := func(g *limit.Gate) {
-		g.Observe(carawaycart.Report{}, start)
+	warm := func(l *limit.Gate) {
+		l.Observe(carawaycart.Report{}, start)
 	}
 	for _, test := range []struct {
 		name    string
@@ -35,39 +38,39 @@
 		want    int
 	}{
 		{"unknown, which counts as cold", func(*limit.Gate) {}, 0, 5},
-		{"cold", func(g *limit.Gate) { g.Observe(carawaycart.Report{Cold: true}, start) }, 0, 5},
+		{"cold", func(l *limit.Gate) { l.Observe(carawaycart.Report{Cold: true}, start) }, 0, 5},
 		{"at the start of the warm-up", warm, 0, 5},
-		{"half through the warm-up", warm, 5 * time.Second, 55},
+		{"halfway through the warm-up", warm, 5 * time.Second, 55},
 		{"warm", warm, 10 * time.Second, 100},
-		{"nearly full", func(g *limit.Gate) { g.Observe(carawaycart.Report{Flows: 97}, start) }, 10 * time.Second, 3},
-		{"shedding", func(g *limit.Gate) { g.Observe(carawaycart.Report{Shedding: true}, start) }, 0, 0},
-		{"cold again", func(g *limit.Gate) {
-			warm(g)
-			admitFlows(g, 3, start)
-			g.Observe(carawaycart.Report{Cold: true}, start)
+		{"nearly full", func(l *limit.Gate) { l.Observe(carawaycart.Report{Flows: 97}, start) }, 10 * time.Second, 3},
+		{"shedding", func(l *limit.Gate) { l.Observe(carawaycart.Report{Shedding: true}, start) }, 0, 0},
+		{"cold again", func(l *limit.Gate) {
+			warm(l)
+			admitFlows(l, 3, start)
+			l.Observe(carawaycart.Report{Cold: true}, start)
 		}, 0, 5},
-		{"dead", func(g *limit.Gate) {
-			g.Missed(true, start)
-			g.Missed(true, start)
+		{"dead", func(l *limit.Gate) {
+			l.Missed(true, start)
+			l.Missed(true, start)
 		}, 0, 0},
 	} {
-		g := limit.NewGate(endpoint, profile, carawaycart.EndpointStatus{}, start)
-		test.prepare(g)
-		if got := admitFlows(g, 200, start.Add(test.now)); got != test.want {
+		l := limit.NewGate(endpoint, profile, carawaycart.EndpointStatus{}, start)
+		test.prepare(l)
+		if got := admitFlows(l, 200, start.Add(test.now)); got != test.want {
 			t.Errorf("%s: got %d flows admitted, want %d", test.name, got, test.want)
 		}
 	}
 }
 
 func TestEndpointIsSilentAfterReportTimeout(t *testing.T) {
-	g := limit.NewGate(endpoint, profile, carawaycart.EndpointStatus{}, start)
-	g.Observe(carawaycart.Report{}, start)
-	g.Missed(false, start.Add(time.Second))
-	if s, _ := g.Status(); s != carawaycart.EndpointOpen {
+	l := limit.NewGate(endpoint, profile, carawaycart.EndpointStatus{}, start)
+	l.Observe(carawaycart.Report{}, start)
+	l.Missed(false, start.Add(time.Second))
+	if s, _ := l.Status(); s != carawaycart.EndpointOpen {
 		t.Errorf("one missing report: got %s, want open", s)
 	}
-	g.Missed(false, start.Add(3*time.Second))
-	if s, _ := g.Status(); s != carawaycart.EndpointSilent {
+	l.Missed(false, start.Add(3*time.Second))
+	if s, _ := l.Status(); s != carawaycart.EndpointSilent {
 		t.Errorf("3 s without a report: got %s, want silent", s)
 	}
 }
@@ -76,8 +79,8 @@
 // keeper does not know how much of the cold allowance is used.
 func TestNewKeeperOfColdEndpointAdmitsNoFlow(t *testing.T) {
 	inherited := carawaycart.EndpointStatus{Version: 3, State: carawaycart.EndpointCold}
-	g := limit.NewGate(endpoint, profile, inherited, start)
-	if n := admitFlows(g, 10, start); n != 0 {
+	l := limit.NewGate(endpoint, profile, inherited, start)
+	if n := admitFlows(l, 10, start); n != 0 {
 		t.Errorf("got %d flows admitted, want 0", n)
 	}
 }
@@ -87,37 +90,39 @@
 // guard directs their packets to the keeper.
 func TestInheritedGuardIsKeptAfterTakeover(t *testing.T) {
 	inherited := carawaycart.EndpointStatus{Version: 3, State: carawaycart.EndpointOpen, Guarded: true}
-	g := limit.NewGate(endpoint, profile, inherited, start)
-	g.Guard(false, start)
-	if _, guarded := g.Status(); !guarded {
+	l := limit.NewGate(endpoint, profile, inherited, start)
+	l.Guard(false, start)
+	if _, guarded := l.Status(); !guarded {
 		t.Fatal("the guard was removed at the takeover")
 	}
-	g.Guard(true, start.Add(time.Second))
-	g.Guard(false, start.Add(2*time.Second))
-	if _, guarded := g.Status(); !guarded {
+	l.Guard(true, start.Add(time.Second))
+	l.Guard(false, start.Add(2*time.Second))
+	if _, guarded := l.Status(); !guarded {
 		t.Error("the guard was removed while other endpoints may still own flows")
 	}
-	g.Guard(false, start.Add(5*time.Second))
-	if _, guarded := g.Status(); guarded {
-		t.Error("the guard was kept after its minimum duration without exceptions")
+	l.Guard(false, start.Add(5*time.Second))
+	if _, guarded := l.Status(); guarded {
+		t.Error("the guard was kept after its minimum duration although no other endpoint owns flows")
 	}
 }
 
+// Guards against flows admitted to another endpoint while some instances still
+// forward packets of the slot directly, bypassing the keeper.
 func TestSpilloverStartsAfterGuardIsPropagated(t *testing.T) {
-	g := limit.NewGate(endpoint, profile, carawaycart.EndpointStatus{}, start)
-	if _, ok := g.SpilloverStart(); ok {
+	l := limit.NewGate(endpoint, profile, carawaycart.EndpointStatus{}, start)
+	if _, ok := l.SpilloverStart(); ok {
 		t.Error("got a spillover start for an endpoint that is not guarded")
 	}
-	g.Guard(false, start) // an unknown endpoint is guarded
-	from, ok := g.SpilloverStart()
+	l.Guard(false, start) // an unknown endpoint is guarded
+	from, ok := l.SpilloverStart()
 	if !ok || !from.After(start.Add(time.Second)) {
 		t.Errorf("got spillover start %v, %t; want more than 1 s after the guard", from, ok)
 	}
 }
 
 func TestAcquire(t *testing.T) {
-	g := limit.NewGate(endpoint, profile, carawaycart.EndpointStatus{}, start)
-	g.Observe(carawaycart.Report{}, start)
+	l := limit.NewGate(endpoint, profile, carawaycart.EndpointStatus{}, start)
+	l.Observe(carawaycart.Report{}, start)
 	deadline := start.Add(time.Second)
 	for _, test := range []struct {
 		name string
@@ -127,30 +132,32 @@
 	}{
 		{"first slot", "p1", 0, true},
 		{"second slot", "p2", 0, true},
-		{"third of two slots", "p3", 0, false},
+		{"third permit for two slots", "p3", 0, false},
 		{"repeat of a granted permit", "p1", 0, true},
 		{"after the deadline of the other permits", "p4", time.Second, true},
 	} {
-		if got := g.Acquire(test.id, "i1", deadline, start.Add(test.now)); got != test.want {
+		if got := l.Acquire(test.id, "i1", deadline, start.Add(test.now)); got != test.want {
 			t.Errorf("%s: got %t, want %t", test.name, got, test.want)
 		}
 	}
-	g.Release("p4", true, start.Add(time.Second))
-	if g.Acquire("p5", "i1", deadline.Add(time.Hour), start.Add(1100*time.Millisecond)) {
+	l.Release("p4", true, start.Add(time.Second))
+	if l.Acquire("p5", "i1", deadline.Add(time.Hour), start.Add(1100*time.Millisecond)) {
 		t.Error("granted a permit 100 ms after the endpoint shed a request")
 	}
 }
 
+// Guards against more requests than request slots after a change of keeper: the new
+// keeper does not know yet which permits the previous one granted.
 func TestNewKeeperWaitsForPermitRegistration(t *testing.T) {
 	inherited := carawaycart.EndpointStatus{Version: 1, State: carawaycart.EndpointOpen}
-	g := limit.NewGate(endpoint, profile, inherited, start)
+	l := limit.NewGate(endpoint, profile, inherited, start)
 	deadline := start.Add(time.Minute)
-	if g.Acquire("p1", "i1", deadline, start) {
+	if l.Acquire("p1", "i1", deadline, start) {
 		t.Error("granted a permit before holders could register theirs")
 	}
-	g.Register("old1", "i2", deadline)
-	g.Register("old2", "i3", deadline)
-	if g.Acquire("p1", "i1", deadline, start.Add(2*time.Second)) {
+	l.Register("old1", "i2", deadline)
+	l.Register("old2", "i3", deadline)
+	if l.Acquire("p1", "i1", deadline, start.Add(2*time.Second)) {
 		t.Error("granted a third permit for two request slots")
 	}
 }
@@ -167,6 +174,6 @@
 		n++
 	}
 	if n != 2 {
-		t.Errorf("got %d retries for 25 fresh requests at 10%%, want 2", n)
+		t.Errorf("got %d retries for 25 first attempts at 10%%, want 2", n)
 	}
 }
