--- a/core/claim/table.go
+++ b/core/claim/table.go
@@ -11,7 +11,7 @@
 	"carawaycart/internal/rendezvous"
 )
 
-const shardCount = 32
+const shards = 32
 
 // Verdict is the keeper's answer to an attempt at a keyed request.
 type Verdict uint8
@@ -28,7 +28,7 @@
 // Table is the sharded map of the claims of one instance by idempotency key. It is
 // safe for concurrent use.
 type Table struct {
-	shards [shardCount]shard
+	shards [shards]shard
 
 	mu     sync.Mutex
 	losses []loss
@@ -61,7 +61,7 @@
 func Key(k carawaycart.IdempotencyKey) rendezvous.Key { return rendezvous.NewKey(string(k)) }
 
 func (t *Table) shard(k carawaycart.IdempotencyKey) *shard {
-	return &t.shards[xxhash.Sum64String(string(k))%shardCount]
+	return &t.shards[xxhash.Sum64String(string(k))%shards]
 }
 
 // Begin records attempt c at the keeper of its key at now. With Run, the claim is
