--- a/core/config/apply.go
+++ b/core/config/apply.go
@@ -11,8 +11,9 @@
 	"carawaycart/core/slot"
 )
 
-// Settlement is the After value of a change of kind settle. It replaces bases that
-// own no more flows by the current endpoints of their slots.
+// Settlement is the After value of a change of kind settle, whose Name is that of a
+// service. It replaces bases that no longer own flows by the current endpoints of
+// their slots.
 type Settlement struct {
 	Moves []Move `json:"moves"`
 }
@@ -25,10 +26,12 @@
 	Slots   []carawaycart.SlotIndex `json:"slots"`
 }
 
-// Apply returns the configuration that results from applying change to c. The error
-// is NotValid if the revision of change is not the next one or its object kind or
-// value is invalid. It is NotFound or AlreadyExists if an object that change
-// refers to is absent or conflicts, and NotSupported for the deletion of a zone.
+// Apply returns the configuration that results from applying change to c, or nil and
+// an error. The error is NotValid if the revision of change is not the next one, if
+// its object kind or value is invalid, or if it deletes an object in use. It is
+// NotFound if change refers to an object that does not exist, AlreadyExists if a
+// service has the address of another one, and NotSupported for the deletion of a
+// zone.
 func (c *Configuration) Apply(change carawaycart.Change) (*Configuration, error) {
 	if change.Revision != c.Revision+1 {
 		return nil, errors.NotValidf("change of revision %d for configuration of revision %d", change.Revision, c.Revision)
@@ -50,15 +53,15 @@
 
 // applyState is the working state of Apply.
 type applyState struct {
-	// The flags are set for the maps that have been cloned from the previous
-	// configuration.
-	profiles, services, endpoints, zones, slots, members bool
+	// Each flag reports whether the map of its name, which the previous
+	// configuration shares, has been cloned.
+	profiles, services, endpoints, zones, slots, endpointIDs bool
 
-	changedServices map[carawaycart.ServiceID]struct{} // their slots must be reassigned
+	changedServices map[carawaycart.ServiceID]struct{} // services whose slots must be reassigned
 }
 
 // cloneOnce replaces the map m, which is shared with the previous configuration, by
-// a copy and sets cloned. It does nothing if cloned is set.
+// a copy and sets cloned. It does nothing if cloned is already set.
 func cloneOnce[K comparable, V any](m *map[K]V, cloned *bool) {
 	if !*cloned {
 		*m = maps.Clone(*m)
@@ -87,9 +90,10 @@
 }
 
 // Bundle is the After value of a change of kind bundle, which creates or replaces
-// several objects. The slots of a new service are divided among all its endpoints
-// in the bundle, so they are clean. Endpoints added in separate changes leave
-// slots whose base is an earlier endpoint.
+// several objects, or none if one of them is rejected. The slots of a new service
+// are divided among all its endpoints in the bundle, so the base of every slot is
+// its current endpoint. Endpoints added in separate changes would leave slots whose
+// base is an earlier endpoint.
 type Bundle struct {
 	Profiles  []carawaycart.Profile  `json:"profiles,omitempty"`
 	Zones     []carawaycart.Zone     `json:"zones,omitempty"`
@@ -125,18 +129,19 @@
 	return nil
 }
 
+// applyBundled applies the creation or replacement of one object of a bundle.
 func (c *Configuration) applyBundled(kind carawaycart.ObjectKind, name string, object any) error {
 	after, err := json.Marshal(object)
 	if err != nil {
-		return errors.Annotatef(err, "%s %s", kind, name)
+		return errors.Annotatef(err, "encode %s %s", kind, name)
 	}
 	return c.applyObject(carawaycart.Change{Kind: kind, Name: name, After: after})
 }
 
 // Next returns the configuration that results from applying change to c. If Apply
-// rejects change, Next returns c with the revision and ID of change, together with
-// the error of Apply, so that all instances skip the change alike. It returns nil
-// and an error if the revision of change is not the next one.
+// rejects change, Next returns the objects of c with the revision and ID of change,
+// and the error of Apply, so that all instances skip the change alike. It returns
+// nil and an error if the revision of change is not the next one.
 func (c *Configuration) Next(change carawaycart.Change) (*Configuration, error) {
 	n, err := c.Apply(change)
 	if err == nil || change.Revision != c.Revision+1 {
@@ -157,6 +162,8 @@
 	return false, DecodeStrict(change.After, v)
 }
 
+// validateNameMatches returns a NotValid error unless name, the name or ID in the
+// value of change, is the name of the object that change is for.
 func validateNameMatches[N ~string](change carawaycart.Change, name N) error {
 	if string(name) != change.Name {
 		return errors.NotValidf("%s %q in a change for name %q", change.Kind, name, change.Name)
@@ -201,7 +208,7 @@
 	cloneOnce(&c.Services, &c.applyState.services)
 	cloneOnce(&c.Slots, &c.applyState.slots)
 	if deleted {
-		if len(c.members[id]) > 0 {
+		if len(c.endpointIDs[id]) > 0 {
 			return errors.NotValidf("deletion of service %s with endpoints", id)
 		}
 		delete(c.Services, id)
@@ -243,16 +250,16 @@
 		}
 	}
 	cloneOnce(&c.Endpoints, &c.applyState.endpoints)
-	cloneOnce(&c.members, &c.applyState.members)
-	members := slices.DeleteFunc(slices.Clone(c.members[e.Service]), func(m carawaycart.EndpointID) bool { return m == id })
+	cloneOnce(&c.endpointIDs, &c.applyState.endpointIDs)
+	endpointIDs := slices.DeleteFunc(slices.Clone(c.endpointIDs[e.Service]), func(other carawaycart.EndpointID) bool { return other == id })
 	if deleted {
 		delete(c.Endpoints, id)
 	} else {
 		c.Endpoints[id] = e
-		members = append(members, id)
-		slices.Sort(members)
+		endpointIDs = append(endpointIDs, id)
+		slices.Sort(endpointIDs)
 	}
-	c.members[e.Service] = members
+	c.endpointIDs[e.Service] = endpointIDs
 	c.applyState.changedServices[e.Service] = struct{}{}
 	return nil
 }
@@ -275,8 +282,8 @@
 	}
 	cloneOnce(&c.Zones, &c.applyState.zones)
 	c.Zones[id] = z
-	for s, members := range c.members {
-		if slices.ContainsFunc(members, func(e carawaycart.EndpointID) bool { return c.Endpoints[e].Zone == id }) {
+	for s, endpointIDs := range c.endpointIDs {
+		if slices.ContainsFunc(endpointIDs, func(e carawaycart.EndpointID) bool { return c.Endpoints[e].Zone == id }) {
 			c.applyState.changedServices[s] = struct{}{}
 		}
 	}
@@ -301,17 +308,18 @@
 	return nil
 }
 
-// reassignSlots assigns the slots of service id to its accepting endpoints. If there
-// are none, the slots keep the endpoints that may still own flows.
+// reassignSlots divides the slots of service id among its endpoints that accept new
+// work, in proportion to the flows that they can hold. If there are none, the slots
+// keep the endpoints that may still own flows.
 func (c *Configuration) reassignSlots(id carawaycart.ServiceID) {
-	members := c.members[id]
+	endpointIDs := c.endpointIDs[id]
 	var candidates []slot.Candidate
-	for _, m := range members {
-		if c.Accepting(m) {
-			candidates = append(candidates, slot.Candidate{ID: m, Weight: c.Endpoints[m].Flows})
+	for _, endpointID := range endpointIDs {
+		if c.Accepting(endpointID) {
+			candidates = append(candidates, slot.Candidate{ID: endpointID, Weight: c.Endpoints[endpointID].Flows})
 		}
 	}
-	t := slot.Grow(slot.Clone(c.Slots[id]), slot.Count(len(members)))
+	t := slot.Grow(slot.Clone(c.Slots[id]), slot.Count(len(endpointIDs)))
 	if len(candidates) == 0 {
 		c.Slots[id] = slot.Retain(t, c.Holding)
 		return
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -10,29 +10,30 @@
 )
 
 // Configuration holds all objects that operators have configured, and the slots
-// computed from them, at one revision. It is immutable.
+// computed from them, at one revision. It is immutable. LastID is the ID of the
+// change of that revision, and empty at revision zero.
 type Configuration struct {
-	Revision   carawaycart.Revision                               `json:"revision"`
-	LastID     carawaycart.ChangeID                               `json:"lastChangeId"`
-	Profiles   map[carawaycart.ProfileName]carawaycart.Profile    `json:"profiles"`
-	Services   map[carawaycart.ServiceID]carawaycart.Service      `json:"services"`
-	Endpoints  map[carawaycart.EndpointID]carawaycart.Endpoint    `json:"endpoints"`
-	Zones      map[carawaycart.ZoneID]carawaycart.Zone            `json:"zones"`
-	Slots      map[carawaycart.ServiceID]carawaycart.SlotTable    `json:"slots"`
-	members    map[carawaycart.ServiceID][]carawaycart.EndpointID // endpoints of each service, sorted
-	applyState *applyState                                        // nil except during Apply
+	Revision    carawaycart.Revision                               `json:"revision"`
+	LastID      carawaycart.ChangeID                               `json:"lastChangeId"`
+	Profiles    map[carawaycart.ProfileName]carawaycart.Profile    `json:"profiles"`
+	Services    map[carawaycart.ServiceID]carawaycart.Service      `json:"services"`
+	Endpoints   map[carawaycart.EndpointID]carawaycart.Endpoint    `json:"endpoints"`
+	Zones       map[carawaycart.ZoneID]carawaycart.Zone            `json:"zones"`
+	Slots       map[carawaycart.ServiceID]carawaycart.SlotTable    `json:"slots"`
+	endpointIDs map[carawaycart.ServiceID][]carawaycart.EndpointID // sorted IDs of the endpoints of each service
+	applyState  *applyState                                        // nil except during Apply
 }
 
 // New returns the configuration at revision zero, which contains only the built-in
 // profiles.
 func New() *Configuration {
 	c := &Configuration{
-		Profiles:  make(map[carawaycart.ProfileName]carawaycart.Profile),
-		Services:  make(map[carawaycart.ServiceID]carawaycart.Service),
-		Endpoints: make(map[carawaycart.EndpointID]carawaycart.Endpoint),
-		Zones:     make(map[carawaycart.ZoneID]carawaycart.Zone),
-		Slots:     make(map[carawaycart.ServiceID]carawaycart.SlotTable),
-		members:   make(map[carawaycart.ServiceID][]carawaycart.EndpointID),
+		Profiles:    make(map[carawaycart.ProfileName]carawaycart.Profile),
+		Services:    make(map[carawaycart.ServiceID]carawaycart.Service),
+		Endpoints:   make(map[carawaycart.EndpointID]carawaycart.Endpoint),
+		Zones:       make(map[carawaycart.ZoneID]carawaycart.Zone),
+		Slots:       make(map[carawaycart.ServiceID]carawaycart.SlotTable),
+		endpointIDs: make(map[carawaycart.ServiceID][]carawaycart.EndpointID),
 	}
 	for _, p := range BuiltInProfiles() {
 		c.Profiles[p.Name] = p
@@ -40,7 +41,7 @@
 	return c
 }
 
-// BuiltInProfiles returns the profiles that New puts into a configuration.
+// BuiltInProfiles returns the profiles that a new configuration contains.
 func BuiltInProfiles() []carawaycart.Profile {
 	return []carawaycart.Profile{
 		{
@@ -57,22 +58,22 @@
 }
 
 // Decode returns the configuration encoded in data by Encode. The error is NotValid
-// if data has another form or a service has no slots.
+// if data is not JSON of that form or a service has no slots.
 func Decode(data []byte) (*Configuration, error) {
 	c := New()
 	if err := DecodeStrict(data, c); err != nil {
-		return nil, errors.Annotate(err, "snapshot")
+		return nil, errors.Annotate(err, "decode snapshot")
 	}
 	for id := range c.Services {
 		if _, ok := c.Slots[id]; !ok {
-			return nil, errors.NotValidf("snapshot: service %s without slots", id)
+			return nil, errors.NotValidf("decode snapshot: service %s without slots", id)
 		}
 	}
 	for id, e := range c.Endpoints {
-		c.members[e.Service] = append(c.members[e.Service], id)
+		c.endpointIDs[e.Service] = append(c.endpointIDs[e.Service], id)
 	}
-	for _, m := range c.members {
-		slices.Sort(m)
+	for _, ids := range c.endpointIDs {
+		slices.Sort(ids)
 	}
 	return c, nil
 }
@@ -83,10 +84,10 @@
 	return data, errors.Annotate(err, "encode snapshot")
 }
 
-// ServiceEndpoints returns the sorted identifiers of the endpoints of service id.
-// The slice must not be modified.
+// ServiceEndpoints returns the sorted IDs of the endpoints of service id. The slice
+// is empty if there are none, and must not be modified.
 func (c *Configuration) ServiceEndpoints(id carawaycart.ServiceID) []carawaycart.EndpointID {
-	return c.members[id]
+	return c.endpointIDs[id]
 }
 
 // Accepting reports whether endpoint id may receive new flows and requests: it
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -21,14 +21,16 @@
 	return c.Apply(carawaycart.Change{Revision: c.Revision + 1, ID: "id", Kind: kind, Name: name, After: after})
 }
 
+// endpoint returns an endpoint of service "desk".
 func endpoint(id carawaycart.EndpointID, zone carawaycart.ZoneID) carawaycart.Endpoint {
 	return carawaycart.Endpoint{
 		ID: id, Service: "desk", Zone: zone, FlowAddress: netip.MustParseAddrPort("10.0.0.1:6081"), Flows: 100, Slots: 2,
 	}
 }
 
-// newSite returns a configuration with one service and four endpoints in two zones.
-func newSite(t *testing.T) *config.Configuration {
+// newTestConfig returns a configuration with service "desk" and its endpoints e1 and e2 in
+// zone a, e3 and e4 in zone b.
+func newTestConfig(t *testing.T) *config.Configuration {
 	t.Helper()
 	c := config.New()
 	put := func(kind carawaycart.ObjectKind, name string, object any) {
@@ -49,6 +51,8 @@
 	return c
 }
 
+// slotCounts returns how many slots of service "desk" name each endpoint in the
+// column that slots selects, baseOf or currentOf.
 func slotCounts(c *config.Configuration, slots func(carawaycart.SlotTable) []uint16) map[carawaycart.EndpointID]int {
 	table := c.Slots["desk"]
 	n := make(map[carawaycart.EndpointID]int)
@@ -63,8 +67,10 @@
 func baseOf(t carawaycart.SlotTable) []uint16    { return t.Base }
 func currentOf(t carawaycart.SlotTable) []uint16 { return t.Current }
 
+// Guards against loss of the flows of a leaving endpoint, whose packets the bases
+// direct, and against new flows on it.
 func TestLeavingEndpointKeepsOnlyBases(t *testing.T) {
-	c := newSite(t)
+	c := newTestConfig(t)
 	before := slotCounts(c, baseOf)["e1"]
 	e := endpoint("e1", "a")
 	e.Mark = carawaycart.MarkLeaving
@@ -80,8 +86,10 @@
 	}
 }
 
-func TestZoneTakenOutLosesBasesForGood(t *testing.T) {
-	c := newSite(t)
+// Guards against flows that ended when their zone was taken out and would be
+// forwarded to its endpoints again once the zone is back in service.
+func TestZoneTakenOutLosesBasesPermanently(t *testing.T) {
+	c := newTestConfig(t)
 	c, err := apply(c, carawaycart.KindZone, "a", carawaycart.Zone{ID: "a", Out: true})
 	if err != nil {
 		t.Fatal(err)
@@ -115,11 +123,11 @@
 		{"unknown field", carawaycart.Change{Kind: carawaycart.KindZone, Name: "c", After: json.RawMessage(`{"id":"c","colour":1}`)}, errors.NotValid},
 		{"name of another object", carawaycart.Change{Kind: carawaycart.KindZone, Name: "c", After: json.RawMessage(`{"id":"d"}`)}, errors.NotValid},
 		{"unknown zone", carawaycart.Change{Kind: carawaycart.KindEndpoint, Name: "e9", After: must(json.Marshal(bad))}, errors.NotFound},
-		{"missing endpoint", carawaycart.Change{Kind: carawaycart.KindEndpoint, Name: "e9"}, errors.NotFound},
-		{"profile in use", carawaycart.Change{Kind: carawaycart.KindProfile, Name: "gentle"}, errors.NotValid},
-		{"service in use", carawaycart.Change{Kind: carawaycart.KindService, Name: "desk"}, errors.NotValid},
+		{"deletion of an absent endpoint", carawaycart.Change{Kind: carawaycart.KindEndpoint, Name: "e9"}, errors.NotFound},
+		{"deletion of a profile in use", carawaycart.Change{Kind: carawaycart.KindProfile, Name: "gentle"}, errors.NotValid},
+		{"deletion of a service with endpoints", carawaycart.Change{Kind: carawaycart.KindService, Name: "desk"}, errors.NotValid},
 	} {
-		c := newSite(t)
+		c := newTestConfig(t)
 		if test.change.Revision == 0 {
 			test.change.Revision = c.Revision + 1
 		}
@@ -137,8 +145,10 @@
 	return data
 }
 
+// Guards against instances that stop at an invalid change in the log: they must skip
+// it and continue at the next revision.
 func TestNextSkipsInvalidChange(t *testing.T) {
-	c := newSite(t)
+	c := newTestConfig(t)
 	n, err := c.Next(carawaycart.Change{Revision: c.Revision + 1, Kind: "corrupt"})
 	if err == nil || n == nil || n.Revision != c.Revision+1 || len(n.Endpoints) != 4 {
 		t.Fatalf("got %v, %v; want an error and the unchanged objects at the next revision", n, err)
@@ -148,8 +158,8 @@
 	}
 }
 
-// Guards against a new service that starts with dirty slots: endpoints added in
-// separate changes leave slots whose base is an earlier endpoint, those of one
+// Guards against a new service that starts with dirty slots. Endpoints added in
+// separate changes leave slots whose base is an earlier endpoint; those of one
 // bundle must not.
 func TestBundleOfNewServiceLeavesSlotsClean(t *testing.T) {
 	c, err := apply(config.New(), carawaycart.KindBundle, "site", config.Bundle{
@@ -176,8 +186,10 @@
 	}
 }
 
+// Guards against instances that diverge because one started from a snapshot: the
+// same change must give the same configuration as on the instance that encoded it.
 func TestSnapshotRoundTrip(t *testing.T) {
-	c := newSite(t)
+	c := newTestConfig(t)
 	data, err := c.Encode()
 	if err != nil {
 		t.Fatal(err)
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -12,11 +12,12 @@
 
 // Upper limits of numbers in configuration objects.
 const (
-	maxCount   = 1_000_000
+	maxCount   = 1_000_000 // flows, requests or request slots
 	maxSeconds = 7 * 24 * 3600
 	maxPercent = 1000
 )
 
+// namePattern matches the names and IDs of configuration objects.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 
 // DecodeStrict decodes one JSON object into v. The error is NotValid if data is not
@@ -41,16 +42,18 @@
 	return nil
 }
 
+// intRange is the value of a field in JSON, with the inclusive bounds of that value.
 type intRange struct {
 	field    string
 	value    int
 	min, max int
 }
 
+// validateRanges returns a NotValid error for the first value that is out of range.
 func validateRanges(ranges []intRange) error {
-	for _, b := range ranges {
-		if b.value < b.min || b.value > b.max {
-			return errors.NotValidf("%s = %d (want %d to %d)", b.field, b.value, b.min, b.max)
+	for _, r := range ranges {
+		if r.value < r.min || r.value > r.max {
+			return errors.NotValidf("%s = %d (want %d to %d)", r.field, r.value, r.min, r.max)
 		}
 	}
 	return nil
@@ -75,6 +78,8 @@
 	}), "profile %s", p.Name)
 }
 
+// validateService returns an error unless s is valid on its own, its profile exists,
+// and no other service has its address.
 func (c *Configuration) validateService(s carawaycart.Service) error {
 	if err := ValidateName(string(s.ID)); err != nil {
 		return errors.Annotate(err, "service")
@@ -85,14 +90,16 @@
 	if _, ok := c.Profiles[s.Profile]; !ok {
 		return errors.NotFoundf("service %s: profile %q", s.ID, s.Profile)
 	}
-	for id, o := range c.Services {
-		if id != s.ID && o.Address == s.Address {
+	for id, other := range c.Services {
+		if id != s.ID && other.Address == s.Address {
 			return errors.AlreadyExistsf("service %s: address %s of service %s", s.ID, s.Address, id)
 		}
 	}
 	return nil
 }
 
+// validateEndpoint returns an error unless e is valid on its own, its service and
+// zone exist, and it does not move an existing endpoint to another service.
 func (c *Configuration) validateEndpoint(e carawaycart.Endpoint) error {
 	if err := ValidateName(string(e.ID)); err != nil {
 		return errors.Annotate(err, "endpoint")
