--- a/core/flow/records.go
+++ b/core/flow/records.go
@@ -103,9 +103,9 @@
 	s.records[added.Fingerprint] = &record{FlowRecord: added, lastSeen: now.UnixNano()}
 }
 
-// supersedes reports whether Put replaces record b of an open flow by a. The rule
-// does not depend on the order of arrival, so that instances with the same records
-// agree on the owner.
+// supersedes reports whether Put replaces record b of an open flow by a. Unless two
+// records were opened in the same nanosecond, the outcome does not depend on their
+// order of arrival, so that instances with the same records agree on the owner.
 func supersedes(a, b carawaycart.FlowRecord) bool {
 	if a.Revision != b.Revision {
 		return a.Revision > b.Revision
--- a/core/flow/router.go
+++ b/core/flow/router.go
@@ -79,7 +79,8 @@
 		return forward(owner)
 	}
 	if slot.Base != slot.Current {
-		// The base can be replaced once it has received no such packet for a time.
+		// The base can be replaced once it has received no such packet for the idle
+		// time of flows.
 		route.NoteBase(index, now)
 	}
 	return forward(slot.Base.ID)
--- a/core/flow/router_test.go
+++ b/core/flow/router_test.go
@@ -20,7 +20,7 @@
 )
 
 // fixture is a set of instances that apply the same sequence of configurations,
-// each at its own time. Its one service is "desk" with address address.
+// each at its own time. The only service is "desk".
 type fixture struct {
 	config  *config.Configuration
 	members []carawaycart.Member
