--- a/internal/demo/bench_test.go
+++ b/internal/demo/bench_test.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	benchReady  = time.Minute
-	benchPeriod = 10 * time.Second
+	benchTimeout = time.Minute
+	benchPeriod  = 10 * time.Second
 )
 
-// newBenchFleet returns a ready fleet of n instances in four zones, before one
-// zone entry per zone and no endpoints, and an Admin.
+// newBenchFleet returns a ready fleet of n instances in four zones, and an Admin.
+// The configuration has one object per zone and no endpoints.
 func newBenchFleet(b *testing.B, n int) (*Fleet, *admin.Admin) {
 	b.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), benchReady)
+	ctx, cancel := context.WithTimeout(context.Background(), benchTimeout)
 	defer cancel()
 	f, err := NewFleet("desk", 1)
 	if err != nil {
@@ -45,11 +45,12 @@
 	if err := f.AwaitReady(ctx, carawaycart.Revision(len(zones))); err != nil {
 		b.Fatal(err)
 	}
-	time.Sleep(3 * time.Second) // until news of the start has settled
+	time.Sleep(3 * time.Second) // until the updates sent at the start have been exchanged
 	return f, a
 }
 
-func (f *Fleet) controlSum() int64 {
+// controlBytesTotal returns the control bytes that all instances have sent.
+func (f *Fleet) controlBytesTotal() int64 {
 	var sum int64
 	for _, b := range f.Instances() {
 		sum += b.Counters.ControlBytes.Count()
@@ -57,7 +58,8 @@
 	return sum
 }
 
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time of the process, or 0 on an error.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -65,34 +67,34 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkIdle reports the control bytes and processor time of an instance in a
-// fleet where nothing happens.
+// BenchmarkIdle reports the control bytes and CPU time of an instance in a fleet
+// without load or changes.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{4, 8, 16, 32, 64} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				f, _ := newBenchFleet(b, n)
-				bytes, processor := f.controlSum(), processorTime()
+				bytes, processor := f.controlBytesTotal(), cpuTime()
 				time.Sleep(benchPeriod)
-				per := float64(n) * benchPeriod.Seconds()
-				b.ReportMetric(float64(f.controlSum()-bytes)/per, "bytes/s/instance")
-				b.ReportMetric(100*(processorTime()-processor).Seconds()/per, "%core/instance")
+				instanceSeconds := float64(n) * benchPeriod.Seconds()
+				b.ReportMetric(float64(f.controlBytesTotal()-bytes)/instanceSeconds, "bytes/s/instance")
+				b.ReportMetric(100*(cpuTime()-processor).Seconds()/instanceSeconds, "%core/instance")
 				f.Close()
 			}
 		})
 	}
 }
 
-// BenchmarkSpread reports what a change of configuration costs each instance and
-// how long it takes to be in force everywhere.
-func BenchmarkSpread(b *testing.B) {
+// BenchmarkChangePropagation reports the control bytes per instance of a
+// configuration change and the time until all instances have applied it.
+func BenchmarkChangePropagation(b *testing.B) {
 	const changes = 20
 	for _, n := range []int{4, 8, 16, 32, 64} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				f, a := newBenchFleet(b, n)
-				ctx, cancel := context.WithTimeout(context.Background(), benchReady)
-				bytes := f.controlSum()
+				ctx, cancel := context.WithTimeout(context.Background(), benchTimeout)
+				bytes := f.controlBytesTotal()
 				begin := time.Now()
 				var longest time.Duration
 				for range changes {
@@ -107,7 +109,7 @@
 					longest = max(longest, time.Since(accepted))
 				}
 				elapsed := time.Since(begin).Seconds()
-				b.ReportMetric(float64(f.controlSum()-bytes)/float64(n*changes), "bytes/change/instance")
+				b.ReportMetric(float64(f.controlBytesTotal()-bytes)/float64(n*changes), "bytes/change/instance")
 				b.ReportMetric(elapsed/changes, "s/change")
 				b.ReportMetric(longest.Seconds(), "s-in-force-max")
 				cancel()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -16,19 +16,20 @@
 	"carawaycart/internal/standin"
 )
 
-// Options choose what a demo runs.
+// Options configures a demo. Feeds are long-lived flows, uploads short ones.
 type Options struct {
 	Site     standin.Site
 	Seed     uint64
-	Feeds    int // flows of the main service
-	Uploads  int // flows of the intake service at any time
-	Orders   int // orders per second
+	Feeds    int // number of flows of the main service
+	Uploads  int // mean number of concurrent flows of the intake service
+	Requests int // keyed requests per second
 	Progress io.Writer
 }
 
-// DefaultOptions returns the options of a demo of the given site.
+// DefaultOptions returns the options of a demo of the given site, which discard
+// the progress messages.
 func DefaultOptions(site standin.Site) Options {
-	return Options{Site: site, Seed: 1, Feeds: 1400, Uploads: 60, Orders: 40, Progress: io.Discard}
+	return Options{Site: site, Seed: 1, Feeds: 1400, Uploads: 60, Requests: 40, Progress: io.Discard}
 }
 
 const (
@@ -38,12 +39,14 @@
 	rampPeriod     = 3 * time.Second
 	coldPeriod     = 4 * time.Second
 	changeLimit    = 10 * time.Second
-	graceSeconds   = 3 // after which a leaving endpoint or a zone taken out gets nothing
-	demoProfile    = carawaycart.ProfileName("demo")
-	operatorName   = carawaycart.OperatorName("demo-operator")
+	// graceSeconds is the time after which an endpoint that leaves, or a zone that
+	// is taken out, must receive no more work.
+	graceSeconds = 3
+	demoProfile  = carawaycart.ProfileName("demo")
+	operatorName = carawaycart.OperatorName("demo-operator")
 )
 
-// Demo is one run.
+// Demo is the state of one run.
 type Demo struct {
 	options Options
 	fleet   *Fleet
@@ -52,13 +55,13 @@
 	report  Report
 	start   time.Time
 
-	callers sync.WaitGroup
-	highest map[carawaycart.InstanceID]carawaycart.Revision
+	callers          sync.WaitGroup
+	highestRevisions map[carawaycart.InstanceID]carawaycart.Revision
 }
 
 func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// Run runs a demo to its end and returns its report.
+// Run runs a demo to completion and returns its report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	d, err := newDemo(o)
 	if err != nil {
@@ -79,26 +82,28 @@
 	}
 	var watchers sync.WaitGroup
 	watch, stopWatching := context.WithCancel(ctx)
-	watchers.Go(func() { d.fleet.Measure(watch) })
+	watchers.Go(func() { d.fleet.MeasureControlBytes(watch) })
 	watchers.Go(func() { d.watchRevisions(watch) })
 	load, stopLoad := context.WithCancel(ctx)
 	d.startLoad(load)
-	err := d.script(ctx)
+	err := d.runScript(ctx)
 	stopLoad()
 	d.callers.Wait()
-	d.finish()
+	d.completeReport()
 	stopWatching()
 	watchers.Wait()
 	return err
 }
 
-func (d *Demo) say(format string, args ...any) {
+// printProgress writes a message with the elapsed time and the main totals to the
+// progress writer.
+func (d *Demo) printProgress(format string, args ...any) {
 	t := d.fleet.Ledger.Totals()
 	_, _ = fmt.Fprintf(d.options.Progress, "%5.1fs  %s [%d flows, %d broken, %d orders, %d confirmed]\n",
 		time.Since(d.start).Seconds(), fmt.Sprintf(format, args...), t.FlowsOpened, t.FlowsBroken, t.OrdersSent, t.OrdersConfirmed)
 }
 
-// setUp writes the configuration and starts hosts and instances.
+// setUp starts the endpoints, writes the configuration and starts the instances.
 func (d *Demo) setUp(ctx context.Context) error {
 	revision, err := d.configure(ctx)
 	if err != nil {
@@ -107,7 +112,8 @@
 	return d.startInstances(ctx, revision)
 }
 
-// configure starts the hosts, writes the configuration, and returns its revision.
+// configure starts the endpoints, writes the configuration and returns its
+// revision.
 func (d *Demo) configure(ctx context.Context) (carawaycart.Revision, error) {
 	site := d.options.Site
 	profile := carawaycart.Profile{
@@ -120,8 +126,8 @@
 	}
 	for _, s := range []standin.SiteService{site.Main, site.Intake} {
 		bundle.Services = append(bundle.Services, carawaycart.Service{ID: s.ID, Address: s.Address, Profile: demoProfile})
-		for i := range s.Hosts {
-			h, err := d.addHost(s, i)
+		for i := range s.EndpointCount {
+			h, err := d.addEndpoint(s, i)
 			if err != nil {
 				return 0, err
 			}
@@ -132,10 +138,10 @@
 	return c.Revision, err
 }
 
-func (d *Demo) addHost(s standin.SiteService, i int) (*standin.Host, error) {
+func (d *Demo) addEndpoint(s standin.SiteService, i int) (*standin.Host, error) {
 	zones := d.options.Site.Zones
-	return d.fleet.AddHost(standin.HostConfig{
-		ID: standin.HostName(s.ID, i), Service: s.ID, ServiceAddress: s.Address, Zone: zones[i%len(zones)],
+	return d.fleet.AddEndpoint(standin.EndpointConfig{
+		ID: standin.EndpointName(s.ID, i), Service: s.ID, ServiceAddress: s.Address, Zone: zones[i%len(zones)],
 		Flows: s.Flows, Slots: s.Slots, ColdFlows: 25, ColdRequests: 1,
 	})
 }
@@ -151,12 +157,12 @@
 	ctx, cancel := context.WithTimeout(ctx, changeLimit)
 	defer cancel()
 	if err := d.fleet.AwaitReady(ctx, r); err != nil {
-		return errors.Annotate(err, "await instances")
+		return errors.Annotate(err, "wait for all instances to become ready")
 	}
 	for id := range d.fleet.Instances() {
-		d.fleet.Open(id)
+		d.fleet.EnableTraffic(id)
 	}
-	d.say("%d instances ready at revision %d", d.report.Instances, r)
+	d.printProgress("%d instances ready at revision %d", d.report.Instances, r)
 	return nil
 }
 
@@ -165,7 +171,8 @@
 	return d.fleet.AddInstance(id, z)
 }
 
-// watchRevisions looks for instances that go back to an older revision.
+// watchRevisions counts how often an instance reverts to an older revision, until
+// ctx ends.
 func (d *Demo) watchRevisions(ctx context.Context) {
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
@@ -177,16 +184,18 @@
 		}
 		for id, b := range d.fleet.Instances() {
 			r := b.Board.Revision()
-			if r < d.highest[id] {
+			if r < d.highestRevisions[id] {
 				d.report.ConfigReverts++
 			}
-			d.highest[id] = r
+			d.highestRevisions[id] = r
 		}
 	}
 }
 
-// change makes a change and waits until it is in force everywhere.
-func (d *Demo) change(ctx context.Context, what string, make func() (carawaycart.Change, error)) error {
+// applyChange applies a configuration change and waits, for at most changeLimit,
+// until all instances have applied it. A change that takes longer is not an error
+// here; its time is recorded in the report.
+func (d *Demo) applyChange(ctx context.Context, what string, make func() (carawaycart.Change, error)) error {
 	c, err := make()
 	if err != nil {
 		return errors.Annotate(err, what)
@@ -197,17 +206,18 @@
 	err = d.fleet.AwaitRevision(wait, c.Revision)
 	took := time.Since(accepted).Seconds()
 	d.report.ConfigInForceSecondsMax = max(d.report.ConfigInForceSecondsMax, took)
-	d.say("%s (revision %d, in force after %.2f s)", what, c.Revision, took)
+	d.printProgress("%s (revision %d, in force after %.2f s)", what, c.Revision, took)
 	if err != nil && ctx.Err() != nil {
 		return err
 	}
 	return nil
 }
 
-func (d *Demo) finish() {
+// completeReport copies the totals and measurements into the report.
+func (d *Demo) completeReport() {
 	d.report.Totals = d.fleet.Ledger.Totals()
 	d.report.ControlBytesPerSecondMax, d.report.ControlBytesPeakSecond = d.fleet.ControlBytes()
-	d.report.PeerBytesByCall = d.fleet.ControlCalls()
+	d.report.PeerBytesByCall = d.fleet.ControlBytesByCall()
 	_, d.report.StoreCallsPeakSecond = d.fleet.Store.Calls()
 	for _, b := range d.fleet.Instances() {
 		d.report.SlotsDirtyAtEnd = max(d.report.SlotsDirtyAtEnd, b.Counters.SlotsDirty.Value())
@@ -215,5 +225,6 @@
 	d.report.ElapsedSeconds = time.Since(d.start).Seconds()
 }
 
-// graceEnd is when a marked endpoint or zone must get nothing more.
-func graceEnd() time.Time { return time.Now().Add(graceSeconds * time.Second) }
+// graceDeadline returns the cutoff for an endpoint that leaves, or a zone that is
+// taken out, now.
+func graceDeadline() time.Time { return time.Now().Add(graceSeconds * time.Second) }
--- a/internal/demo/doc.go
+++ b/internal/demo/doc.go
@@ -1,4 +1,4 @@
-// Package demo runs several instances with the stand-ins of package standin in
-// one process on loopback, drives them through planned changes and failures,
-// and reports what the stand-ins saw.
+// Package demo runs several instances and the emulated systems of package standin
+// in one process on loopback. It drives them through planned changes and failures
+// and reports the events that the emulated endpoints and callers observed.
 package demo
--- a/internal/demo/environment.go
+++ b/internal/demo/environment.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	portsPerInstance = 10 // ports that an external instance takes
+	portsPerInstance = 10 // ports reserved for an external instance
 	checkPeriod      = 500 * time.Millisecond
 	checkTimeout     = 200 * time.Millisecond
 )
 
-// ExternalInstance is an instance that somebody else starts.
+// ExternalInstance is an instance that runs outside this process.
 type ExternalInstance struct {
 	ID       carawaycart.InstanceID
 	Zone     carawaycart.ZoneID
@@ -30,8 +30,8 @@
 	Operator netip.AddrPort
 }
 
-// ExternalInstances returns n instances of a site on loopback with consecutive
-// ports from port on.
+// ExternalInstances returns n instances of a site on loopback. Instance i listens
+// on ports from port+i*portsPerInstance.
 func ExternalInstances(site standin.Site, n, port int) []ExternalInstance {
 	instances := make([]ExternalInstance, n)
 	for i := range instances {
@@ -46,14 +46,15 @@
 	return instances
 }
 
-// Environment runs the stand-ins and their load for external instances.
+// Environment runs the emulated systems and the load for external instances.
 type Environment struct {
 	demo      *Demo
 	instances []ExternalInstance
 	up        map[carawaycart.InstanceID]bool
 }
 
-// NewEnvironment starts the stand-ins of a site and writes its configuration.
+// NewEnvironment starts the emulated systems of a site and writes its
+// configuration.
 func NewEnvironment(ctx context.Context, site standin.Site, instances []ExternalInstance) (*Environment, error) {
 	options := DefaultOptions(site)
 	d, err := newDemo(options)
@@ -67,7 +68,7 @@
 	return &Environment{demo: d, instances: instances, up: make(map[carawaycart.InstanceID]bool)}, nil
 }
 
-// newDemo returns a demo whose stand-ins run, without hosts or instances.
+// newDemo returns a demo with a running platform and no endpoints or instances.
 func newDemo(o Options) (*Demo, error) {
 	fleet, err := NewFleet(o.Site.Main.ID, o.Seed)
 	if err != nil {
@@ -77,9 +78,9 @@
 	log := platform.NewChangeLog(platform.NewStore(fleet.Store.URL(), nil), clock)
 	d := &Demo{
 		options: o, fleet: fleet, start: time.Now(),
-		admin:   admin.NewAdmin(log, operatorName, clock),
-		random:  newRandom(o.Seed),
-		highest: make(map[carawaycart.InstanceID]carawaycart.Revision),
+		admin:            admin.NewAdmin(log, operatorName, clock),
+		random:           newRandom(o.Seed),
+		highestRevisions: make(map[carawaycart.InstanceID]carawaycart.Revision),
 	}
 	d.report.Seed, d.report.Site = o.Seed, o.Site.Name
 	return d, nil
@@ -88,23 +89,23 @@
 // Instances returns the external instances.
 func (e *Environment) Instances() []ExternalInstance { return e.instances }
 
-// StoreURL returns the address of the store.
+// StoreURL returns the base URL of the store.
 func (e *Environment) StoreURL() string { return e.demo.fleet.Store.URL() }
 
-// Settings returns the text of an instance's settings file.
+// Settings returns the content of an instance's settings file.
 func (e *Environment) Settings(i ExternalInstance) string {
 	return fmt.Sprintf("[instance]\nid = %s\nzone = %s\n\n[listen]\nfabric = %s\nrequest = %s\npeer = %s\noperator = %s\n\n"+
 		"[platform]\nstore = %s\nlist = %s\n",
 		i.ID, i.Zone, i.Fabric, i.Request, i.Peer, i.Operator, e.demo.fleet.Store.URL(), e.demo.fleet.List.URL())
 }
 
-// Run keeps the load going until ctx ends.
+// Run generates load until ctx ends and all callers have returned.
 func (e *Environment) Run(ctx context.Context) {
 	e.demo.startLoad(ctx)
 	ticker := time.NewTicker(checkPeriod)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		e.check()
+		e.updateTargets()
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
@@ -113,27 +114,30 @@
 	e.demo.callers.Wait()
 }
 
-// check lets the fabric, callers and the list use the instances that accept
-// connections, as the platform's health checks would.
-func (e *Environment) check() {
+// updateTargets adds instances that accept connections to the fabric, the callers
+// and the instance list, and removes the others, as the platform's health checks
+// do.
+func (e *Environment) updateTargets() {
 	f := e.demo.fleet
 	for _, i := range e.instances {
-		up := accepts(i.Request)
+		up := acceptsConnections(i.Request)
 		switch {
 		case up && !e.up[i.ID]:
 			f.List.Add(carawaycart.ListedInstance{ID: i.ID, Zone: i.Zone, PeerAddress: i.Peer})
 			f.Fabric.Add(i.ID, i.Fabric)
-			f.Orders.Add(standin.OrderTarget{ID: i.ID, Address: i.Request})
+			f.Requests.Add(standin.RequestTarget{ID: i.ID, Address: i.Request})
 		case !up && e.up[i.ID]:
 			f.List.Remove(i.ID)
 			f.Fabric.Remove(i.ID)
-			f.Orders.Remove(i.ID)
+			f.Requests.Remove(i.ID)
 		}
 		e.up[i.ID] = up
 	}
 }
 
-func accepts(address netip.AddrPort) bool {
+// acceptsConnections reports whether a TCP connection to address succeeds within
+// checkTimeout.
+func acceptsConnections(address netip.AddrPort) bool {
 	conn, err := net.DialTimeout("tcp", address.String(), checkTimeout)
 	if err != nil {
 		return false
@@ -142,11 +146,11 @@
 	return true
 }
 
-// Report writes what the stand-ins saw.
+// Report writes the report of the observed events to w.
 func (e *Environment) Report(w io.Writer) error {
-	e.demo.finish()
+	e.demo.completeReport()
 	return e.demo.report.Write(w)
 }
 
-// Close stops the stand-ins.
+// Close stops the emulated systems.
 func (e *Environment) Close() { e.demo.fleet.Close() }
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -15,91 +15,94 @@
 )
 
 const (
-	loopback   = "127.0.0.1:0"
-	listLag    = time.Second
-	sprayLag   = time.Second // until the fabric notices that an instance failed
-	meterCycle = time.Second
+	loopback      = "127.0.0.1:0"
+	listDelay     = time.Second
+	fabricDelay   = time.Second // time until the fabric detects a failed instance
+	meterInterval = time.Second
 )
 
-// Fleet is a set of instances before one platform and one set of hosts.
+// Fleet is a set of instances that share an emulated platform and a set of
+// emulated endpoints.
 type Fleet struct {
-	Store  *standin.Store
-	List   *standin.List
-	Fabric *standin.Fabric
-	Ledger *standin.Ledger
-	Orders *standin.OrderCaller
+	Store    *standin.Store
+	List     *standin.List
+	Fabric   *standin.Fabric
+	Ledger   *standin.Ledger
+	Requests *standin.RequestCaller
 
 	mu        sync.Mutex
 	instances map[carawaycart.InstanceID]*balancer.Balancer
-	hosts     map[carawaycart.EndpointID]*standin.Host
+	endpoints map[carawaycart.EndpointID]*standin.Host
 	meters    map[carawaycart.InstanceID]*meter
 }
 
-// meter follows the control bytes of one instance.
+// meter measures the control traffic that one instance sends.
 type meter struct {
-	since time.Time
-	start int64 // bytes before the measurement
-	bytes int64
-	peak  float64
-	last  int64
+	since    time.Time
+	baseline int64 // bytes sent before the measurement
+	bytes    int64
+	peak     float64
+	last     int64
 }
 
-// NewFleet returns a fleet without instances or hosts whose orders go to service.
+// NewFleet returns a fleet without instances or endpoints. Its keyed requests are
+// sent to service; seed determines the random choices of the fabric and callers.
 func NewFleet(service carawaycart.ServiceID, seed uint64) (*Fleet, error) {
 	f := &Fleet{
 		Ledger:    standin.NewLedger(),
 		instances: make(map[carawaycart.InstanceID]*balancer.Balancer),
-		hosts:     make(map[carawaycart.EndpointID]*standin.Host),
+		endpoints: make(map[carawaycart.EndpointID]*standin.Host),
 		meters:    make(map[carawaycart.InstanceID]*meter),
 	}
 	var err error
 	if f.Store, err = standin.NewStore(loopback); err != nil {
 		return nil, err
 	}
-	if f.List, err = standin.NewList(loopback, listLag); err != nil {
+	if f.List, err = standin.NewList(loopback, listDelay); err != nil {
 		return nil, err
 	}
 	if f.Fabric, err = standin.NewFabric(loopback, seed); err != nil {
 		return nil, err
 	}
-	f.Orders = standin.NewOrderCaller(service, f.Ledger, seed)
+	f.Requests = standin.NewRequestCaller(service, f.Ledger, seed)
 	return f, nil
 }
 
-// AddHost starts a host.
-func (f *Fleet) AddHost(c standin.HostConfig) (*standin.Host, error) {
+// AddEndpoint starts an endpoint.
+func (f *Fleet) AddEndpoint(c standin.EndpointConfig) (*standin.Host, error) {
 	h, err := standin.NewHost(c, loopback, f.Ledger, f.Fabric)
 	if err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hosts[c.ID] = h
+	f.endpoints[c.ID] = h
 	return h, nil
 }
 
-// Hosts returns the hosts by endpoint.
-func (f *Fleet) Hosts() map[carawaycart.EndpointID]*standin.Host {
+// Endpoints returns a copy of the map of endpoints.
+func (f *Fleet) Endpoints() map[carawaycart.EndpointID]*standin.Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	hosts := make(map[carawaycart.EndpointID]*standin.Host, len(f.hosts))
-	for id, h := range f.hosts {
-		hosts[id] = h
+	endpoints := make(map[carawaycart.EndpointID]*standin.Host, len(f.endpoints))
+	for id, h := range f.endpoints {
+		endpoints[id] = h
 	}
-	return hosts
+	return endpoints
 }
 
-// ZoneOf returns the availability zone of a host.
+// ZoneOf returns the availability zone of an endpoint, or the empty ID if the
+// endpoint does not exist.
 func (f *Fleet) ZoneOf(id carawaycart.EndpointID) carawaycart.ZoneID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if h := f.hosts[id]; h != nil {
+	if h := f.endpoints[id]; h != nil {
 		return h.Zone()
 	}
 	return ""
 }
 
-// AddInstance starts an instance and lists it.
+// AddInstance starts an instance and adds it to the instance list.
 func (f *Fleet) AddInstance(id carawaycart.InstanceID, zone carawaycart.ZoneID) error {
 	address := netip.MustParseAddrPort(loopback)
 	s := settings.Settings{
@@ -122,16 +125,16 @@
 	return nil
 }
 
-// Open lets the fabric and callers use an instance.
-func (f *Fleet) Open(id carawaycart.InstanceID) {
+// EnableTraffic adds an instance to the targets of the fabric and of callers.
+func (f *Fleet) EnableTraffic(id carawaycart.InstanceID) {
 	f.mu.Lock()
 	b := f.instances[id]
 	f.mu.Unlock()
 	f.Fabric.Add(id, b.FabricAddress())
-	f.Orders.Add(standin.OrderTarget{ID: id, Address: b.RequestAddress()})
+	f.Requests.Add(standin.RequestTarget{ID: id, Address: b.RequestAddress()})
 }
 
-// Instances returns the running instances.
+// Instances returns a copy of the map of running instances.
 func (f *Fleet) Instances() map[carawaycart.InstanceID]*balancer.Balancer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -142,7 +145,9 @@
 	return instances
 }
 
-func (f *Fleet) take(id carawaycart.InstanceID) *balancer.Balancer {
+// removeInstance removes an instance from the fleet, after a last measurement of
+// its control traffic, and returns it.
+func (f *Fleet) removeInstance(id carawaycart.InstanceID) *balancer.Balancer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	b := f.instances[id]
@@ -151,36 +156,38 @@
 	return b
 }
 
-// Kill ends an instance without warning; the fabric, callers and the list
-// notice only later.
+// Kill ends an instance without a planned stop. Callers and the instance list are
+// updated afterwards, the fabric only after fabricDelay.
 func (f *Fleet) Kill(id carawaycart.InstanceID) {
-	f.take(id).Kill()
-	f.Orders.Remove(id)
+	f.removeInstance(id).Kill()
+	f.Requests.Remove(id)
 	f.List.Remove(id)
-	time.AfterFunc(sprayLag, func() { f.Fabric.Remove(id) })
+	time.AfterFunc(fabricDelay, func() { f.Fabric.Remove(id) })
 }
 
-// Stop ends an instance as planned: the fabric and callers are told first.
+// Stop performs a planned stop of an instance. It removes the instance from the
+// fabric before the stop, and from the targets of callers after it.
 func (f *Fleet) Stop(ctx context.Context, id carawaycart.InstanceID) error {
-	f.Orders.Stopping(id)
+	f.Requests.MarkStopping(id)
 	f.List.Remove(id)
-	b := f.take(id)
+	b := f.removeInstance(id)
 	f.Fabric.Remove(id)
 	err := b.Stop(ctx)
-	f.Orders.Remove(id)
+	f.Requests.Remove(id)
 	return err
 }
 
-// AwaitReady waits until all instances are ready and run revision r.
+// AwaitReady waits until all instances are ready and have applied revision r.
 func (f *Fleet) AwaitReady(ctx context.Context, r carawaycart.Revision) error {
 	return f.await(ctx, func(b *balancer.Balancer) bool { return b.Ready() && b.Board.Revision() >= r })
 }
 
-// AwaitRevision waits until all instances that are ready run revision r.
+// AwaitRevision waits until all instances have applied revision r.
 func (f *Fleet) AwaitRevision(ctx context.Context, r carawaycart.Revision) error {
 	return f.await(ctx, func(b *balancer.Balancer) bool { return b.Board.Revision() >= r })
 }
 
+// await polls the instances until done holds for all of them or ctx ends.
 func (f *Fleet) await(ctx context.Context, done func(*balancer.Balancer) bool) error {
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
@@ -200,16 +207,17 @@
 	}
 }
 
-// Measure follows the control bytes of the instances until ctx ends. What the
-// running instances sent before does not count; what later ones send to join does.
-func (f *Fleet) Measure(ctx context.Context) {
+// MeasureControlBytes measures the control traffic of the instances until ctx
+// ends. It excludes the bytes that the running instances have sent so far, and
+// includes the bytes that later instances send to join.
+func (f *Fleet) MeasureControlBytes(ctx context.Context) {
 	f.mu.Lock()
 	for id, b := range f.instances {
 		sent := b.Counters.ControlBytes.Count()
-		f.meters[id] = &meter{since: time.Now(), start: sent, bytes: sent, last: sent}
+		f.meters[id] = &meter{since: time.Now(), baseline: sent, bytes: sent, last: sent}
 	}
 	f.mu.Unlock()
-	ticker := time.NewTicker(meterCycle)
+	ticker := time.NewTicker(meterInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -225,32 +233,34 @@
 	}
 }
 
+// measureLocked updates the meter of an instance. The caller holds f.mu.
 func (f *Fleet) measureLocked(id carawaycart.InstanceID, b *balancer.Balancer) {
 	m := f.meters[id]
 	m.bytes = b.Counters.ControlBytes.Count()
-	m.peak = max(m.peak, float64(m.bytes-m.last)/meterCycle.Seconds())
+	m.peak = max(m.peak, float64(m.bytes-m.last)/meterInterval.Seconds())
 	m.last = m.bytes
 }
 
-// minMeasured is the shortest life over which a rate is stated.
-const minMeasured = 5 * time.Second
+// minMeasuredPeriod is the shortest period over which a mean rate is computed.
+const minMeasuredPeriod = 5 * time.Second
 
-// ControlBytes returns the highest mean of the instances' control bytes per
-// second, and the highest of one second.
+// ControlBytes returns, in bytes per second, the highest mean rate of control
+// traffic of an instance and the highest rate within one meterInterval.
 func (f *Fleet) ControlBytes() (mean, peak float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.meters {
-		if life := time.Since(m.since); life >= minMeasured {
-			mean = max(mean, float64(m.bytes-m.start)/life.Seconds())
+		if period := time.Since(m.since); period >= minMeasuredPeriod {
+			mean = max(mean, float64(m.bytes-m.baseline)/period.Seconds())
 		}
 		peak = max(peak, m.peak)
 	}
 	return mean, peak
 }
 
-// ControlCalls returns the control bytes of all instances by call.
-func (f *Fleet) ControlCalls() map[string]int64 {
+// ControlBytesByCall returns the control bytes of the running instances by RPC
+// method.
+func (f *Fleet) ControlBytesByCall() map[string]int64 {
 	calls := make(map[string]int64)
 	for _, b := range f.Instances() {
 		for method, bytes := range b.Counters.BytesByCall() {
@@ -260,17 +270,17 @@
 	return calls
 }
 
-// Close ends everything.
+// Close ends the instances, endpoints, callers and the platform.
 func (f *Fleet) Close() {
 	var closing sync.WaitGroup
 	for _, b := range f.Instances() {
 		closing.Go(b.Kill)
 	}
 	closing.Wait()
-	for _, h := range f.Hosts() {
+	for _, h := range f.Endpoints() {
 		h.Close()
 	}
-	f.Orders.Close()
+	f.Requests.Close()
 	f.Fabric.Close()
 	f.List.Close()
 	f.Store.Close()
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -10,26 +10,26 @@
 	"carawaycart/internal/standin"
 )
 
-// firstPort is the first port that callers use.
-const firstPort = 10000
+// firstCallerPort is the lowest source port of callers.
+const firstCallerPort = 10000
 
-// callerAddress returns the address of caller i of a service; network tells the
-// services apart.
+// callerAddress returns the address of caller i of a service. network is the last
+// octet of the first address and differs between services.
 func callerAddress(network byte, i int) netip.AddrPort {
 	const portsPerAddress = 50000
 	a := netip.AddrFrom4([4]byte{198, 51, 100, network + byte(i/portsPerAddress)})
-	return netip.AddrPortFrom(a, uint16(firstPort+i%portsPerAddress))
+	return netip.AddrPortFrom(a, uint16(firstCallerPort+i%portsPerAddress))
 }
 
-// startLoad starts feeds, uploads and orders, which run until ctx ends.
+// startLoad starts feeds, uploads and keyed requests, which run until ctx ends.
 func (d *Demo) startLoad(ctx context.Context) {
-	d.callers.Go(func() { d.feeds(ctx) })
-	d.callers.Go(func() { d.uploads(ctx) })
-	d.callers.Go(func() { d.orders(ctx) })
+	d.callers.Go(func() { d.runFeeds(ctx) })
+	d.callers.Go(func() { d.runUploads(ctx) })
+	d.callers.Go(func() { d.runRequests(ctx) })
 }
 
-// feeds opens all feeds over rampPeriod; each goes on to the end.
-func (d *Demo) feeds(ctx context.Context) {
+// runFeeds opens the feeds evenly over rampPeriod. Each runs until ctx ends.
+func (d *Demo) runFeeds(ctx context.Context) {
 	pause := rampPeriod / time.Duration(max(d.options.Feeds, 1))
 	ticker := time.NewTicker(max(pause, time.Microsecond))
 	defer ticker.Stop()
@@ -38,7 +38,7 @@
 			Caller: callerAddress(1, i), Service: d.options.Site.Main.Address,
 			Interval: feedInterval, Deadline: time.Now().Add(time.Hour),
 		}, d.fleet.Fabric, d.fleet.Ledger, d.fleet.ZoneOf)
-		d.callers.Go(func() { d.keepOpen(ctx, c) })
+		d.callers.Go(func() { d.runFeed(ctx, c) })
 		select {
 		case <-ctx.Done():
 			return
@@ -47,15 +47,16 @@
 	}
 }
 
-// keepOpen opens the feed again whenever it ends, as a workshop's screen would.
-func (d *Demo) keepOpen(ctx context.Context, c *standin.FlowCaller) {
+// runFeed reopens a feed whenever it ends, as a screen in a workshop does.
+func (d *Demo) runFeed(ctx context.Context, c *standin.FlowCaller) {
 	for ctx.Err() == nil {
 		c.Run(ctx)
 	}
 }
 
-// uploads keeps a number of short flows to the intake service going.
-func (d *Demo) uploads(ctx context.Context) {
+// runUploads opens flows to the intake service at a steady rate that maintains
+// the configured number of concurrent uploads.
+func (d *Demo) runUploads(ctx context.Context) {
 	next := 0
 	ticker := time.NewTicker(uploadLength / time.Duration(max(d.options.Uploads, 1)))
 	defer ticker.Stop()
@@ -74,9 +75,10 @@
 	}
 }
 
-// orders sends orders at a steady rate; those under way at the end are finished.
-func (d *Demo) orders(ctx context.Context) {
-	ticker := time.NewTicker(time.Second / time.Duration(max(d.options.Orders, 1)))
+// runRequests sends keyed requests at a steady rate until ctx ends. Requests in
+// progress at that time are completed.
+func (d *Demo) runRequests(ctx context.Context) {
+	ticker := time.NewTicker(time.Second / time.Duration(max(d.options.Requests, 1)))
 	defer ticker.Stop()
 	for i := 0; ; i++ {
 		select {
@@ -85,6 +87,6 @@
 		case <-ticker.C:
 		}
 		key := carawaycart.IdempotencyKey(fmt.Sprintf("order-%d-%d", d.options.Seed, i))
-		d.callers.Go(func() { d.fleet.Orders.Order(context.WithoutCancel(ctx), key) })
+		d.callers.Go(func() { d.fleet.Requests.Send(context.WithoutCancel(ctx), key) })
 	}
 }
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -29,35 +29,35 @@
 	ElapsedSeconds           float64          `json:"elapsedSeconds"`
 }
 
-// maxInForceSeconds is how long an accepted change may take to be in force
-// everywhere.
+// maxInForceSeconds is the maximum time until all instances have applied an
+// accepted change.
 const maxInForceSeconds = 5
 
-// Breach is a promise that a run did not hold.
+// Breach is a guarantee that a run violated, and the observed value.
 type Breach struct {
 	Promise string
 	Seen    string
 }
 
-// Breaches returns the promises that the run did not hold.
+// Breaches returns the guarantees that the run violated.
 func (r *Report) Breaches() []Breach {
 	var breaches []Breach
-	none := func(n int, promise string) {
+	requireZero := func(n int, promise string) {
 		if n != 0 {
 			breaches = append(breaches, Breach{Promise: promise, Seen: fmt.Sprintf("%d", n)})
 		}
 	}
-	none(r.FlowsBroken, "an established flow survives any planned change")
-	none(r.PacketsToWrongService, "a packet never reaches another service")
-	none(r.ColdOverload, "a cold endpoint gets no more than it bears")
-	none(r.PacketsAfterZoneOut, "a zone taken out gets no more packets after a few seconds")
-	none(r.AnswersCrossed, "a caller gets the answer to its own request")
-	none(r.AnswersTruncated, "a caller gets the whole answer")
-	none(r.FalseRefusals, "a refusal that says not run is true")
-	none(r.OrdersRunTwice, "a non-idempotent order runs at most once")
-	none(r.WorkAfterLeave, "a leaving endpoint gets no new work after a few seconds")
-	none(r.RequestsCutByStop, "a planned stop cuts no request")
-	none(r.ConfigReverts, "an accepted configuration never reverts")
+	requireZero(r.FlowsBroken, "an established flow survives any planned change")
+	requireZero(r.PacketsToWrongService, "a packet never reaches another service")
+	requireZero(r.ColdOverload, "a cold endpoint gets no more work than its limits for the cold state")
+	requireZero(r.PacketsAfterZoneOut, "a zone taken out gets no more packets after a few seconds")
+	requireZero(r.AnswersCrossed, "a caller gets the answer to its own request")
+	requireZero(r.AnswersTruncated, "a caller gets the whole answer")
+	requireZero(r.FalseRefusals, "a request that is reported as not run was not run")
+	requireZero(r.OrdersRunTwice, "a non-idempotent order runs at most once")
+	requireZero(r.WorkAfterLeave, "a leaving endpoint gets no new work after a few seconds")
+	requireZero(r.RequestsCutByStop, "a planned stop interrupts no request")
+	requireZero(r.ConfigReverts, "an accepted configuration never reverts")
 	if r.ConfigInForceSecondsMax > maxInForceSeconds {
 		breaches = append(breaches, Breach{
 			Promise: "an accepted configuration is in force everywhere within seconds",
@@ -66,14 +66,14 @@
 	}
 	if r.FlowsOpened == 0 || r.OrdersConfirmed == 0 {
 		breaches = append(breaches, Breach{
-			Promise: "the main job is done",
+			Promise: "flows are opened and orders are confirmed",
 			Seen:    fmt.Sprintf("%d flows opened, %d orders confirmed", r.FlowsOpened, r.OrdersConfirmed),
 		})
 	}
 	return breaches
 }
 
-// Write writes the report as a table.
+// Write writes the report to w as a table with one value per row.
 func (r *Report) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	row := func(name string, value any) { _, _ = fmt.Fprintf(t, "%s\t%v\n", name, value) }
--- a/internal/demo/script.go
+++ b/internal/demo/script.go
@@ -11,10 +11,11 @@
 	"carawaycart/internal/standin"
 )
 
-// script drives the fleet through planned changes and failures.
-func (d *Demo) script(ctx context.Context) error {
+// runScript drives the fleet through a fixed series of planned changes and
+// failures.
+func (d *Demo) runScript(ctx context.Context) error {
 	steps := []func(context.Context) error{
-		d.steady, d.drain, d.killAndAdd, d.turnCold, d.zoneOut, d.storeOutage, d.zoneBack, d.plannedStop,
+		d.awaitSteadyState, d.drain, d.replaceInstance, d.setEndpointCold, d.zoneOut, d.storeOutage, d.zoneBack, d.plannedStop,
 	}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
@@ -24,6 +25,7 @@
 	return pause(ctx, 2*time.Second)
 }
 
+// pause blocks for p or until ctx ends.
 func pause(ctx context.Context, p time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -33,36 +35,41 @@
 	}
 }
 
-func (d *Demo) steady(ctx context.Context) error {
+// awaitSteadyState waits until the feeds are open and records how evenly they are
+// spread over the endpoints of the main service.
+func (d *Demo) awaitSteadyState(ctx context.Context) error {
 	if err := pause(ctx, rampPeriod+2*time.Second); err != nil {
 		return err
 	}
-	total, most, hosts := 0, 0, 0
-	for id, h := range d.fleet.Hosts() {
+	total, highest, endpoints := 0, 0, 0
+	for id, h := range d.fleet.Endpoints() {
 		if h.Endpoint().Service != d.options.Site.Main.ID {
 			continue
 		}
-		n := d.fleet.Hosts()[id].Flows()
+		n := d.fleet.Endpoints()[id].Flows()
 		total += n
-		most = max(most, n)
-		hosts++
+		highest = max(highest, n)
+		endpoints++
 	}
 	if total > 0 {
-		d.report.ImbalanceMaxOverMean = float64(most) * float64(hosts) / float64(total)
+		d.report.ImbalanceMaxOverMean = float64(highest) * float64(endpoints) / float64(total)
 	}
-	d.say("%d feeds established on %d hosts, imbalance %.3f", total, hosts, d.report.ImbalanceMaxOverMean)
+	d.printProgress("%d feeds established on %d endpoints, imbalance %.3f", total, endpoints, d.report.ImbalanceMaxOverMean)
 	return nil
 }
 
-func (d *Demo) host(i int) carawaycart.EndpointID { return standin.HostName(d.options.Site.Main.ID, i) }
+// endpointID returns the ID of endpoint i of the main service.
+func (d *Demo) endpointID(i int) carawaycart.EndpointID {
+	return standin.EndpointName(d.options.Site.Main.ID, i)
+}
 
-// pick returns a number below n.
-func (d *Demo) pick(n int) int { return d.random.IntN(n) }
+// randomInt returns a random number in [0, n).
+func (d *Demo) randomInt(n int) int { return d.random.IntN(n) }
 
 func (d *Demo) drain(ctx context.Context) error {
-	id := d.host(d.pick(4))
-	err := d.change(ctx, "endpoint "+string(id)+" is leaving", func() (carawaycart.Change, error) {
-		d.fleet.Ledger.SetMark(string(id), graceEnd())
+	id := d.endpointID(d.randomInt(4))
+	err := d.applyChange(ctx, "endpoint "+string(id)+" is leaving", func() (carawaycart.Change, error) {
+		d.fleet.Ledger.SetCutoff(string(id), graceDeadline())
 		return d.admin.Leave(ctx, id)
 	})
 	if err != nil {
@@ -71,37 +78,41 @@
 	return pause(ctx, 2*time.Second)
 }
 
-func (d *Demo) killAndAdd(ctx context.Context) error {
+// replaceInstance kills a random instance and starts another in its zone.
+func (d *Demo) replaceInstance(ctx context.Context) error {
 	zones := d.options.Site.Zones
-	z := zones[d.pick(len(zones))]
-	dead := standin.InstanceName(z, d.pick(d.options.Site.Instances/len(zones)))
-	d.say("instance %s dies", dead)
-	d.fleet.Kill(dead)
+	z := zones[d.randomInt(len(zones))]
+	failed := standin.InstanceName(z, d.randomInt(d.options.Site.Instances/len(zones)))
+	d.printProgress("instance %s is killed", failed)
+	d.fleet.Kill(failed)
 	if err := pause(ctx, 2*time.Second); err != nil {
 		return err
 	}
-	fresh := standin.InstanceName(z, d.options.Site.Instances/len(zones))
-	if err := d.addInstance(fresh, z); err != nil {
+	replacement := standin.InstanceName(z, d.options.Site.Instances/len(zones))
+	if err := d.addInstance(replacement, z); err != nil {
 		return err
 	}
-	d.fleet.Open(fresh)
-	d.say("instance %s joins", fresh)
+	d.fleet.EnableTraffic(replacement)
+	d.printProgress("instance %s joins", replacement)
 	return pause(ctx, 2*time.Second)
 }
 
-func (d *Demo) turnCold(ctx context.Context) error {
-	id := d.host(4 + d.pick(4))
-	d.fleet.Hosts()[id].TurnCold(coldPeriod)
-	d.say("endpoint %s turns cold without warning", id)
+func (d *Demo) setEndpointCold(ctx context.Context) error {
+	id := d.endpointID(4 + d.randomInt(4))
+	d.fleet.Endpoints()[id].SetCold(coldPeriod)
+	d.printProgress("endpoint %s becomes cold without a configuration change", id)
 	return pause(ctx, 2*time.Second)
 }
 
-func (d *Demo) zone() carawaycart.ZoneID { return d.options.Site.Zones[len(d.options.Site.Zones)-1] }
+// evacuatedZone returns the zone that the script takes out.
+func (d *Demo) evacuatedZone() carawaycart.ZoneID {
+	return d.options.Site.Zones[len(d.options.Site.Zones)-1]
+}
 
 func (d *Demo) zoneOut(ctx context.Context) error {
-	z := d.zone()
-	err := d.change(ctx, "zone "+string(z)+" is taken out", func() (carawaycart.Change, error) {
-		d.fleet.Ledger.SetMark(string(z), graceEnd())
+	z := d.evacuatedZone()
+	err := d.applyChange(ctx, "zone "+string(z)+" is taken out", func() (carawaycart.Change, error) {
+		d.fleet.Ledger.SetCutoff(string(z), graceDeadline())
 		return d.admin.SetZone(ctx, z, true)
 	})
 	if err != nil {
@@ -110,35 +121,35 @@
 	return pause(ctx, 4*time.Second)
 }
 
-// storeOutage stops the store while an instance dies, and tries a change that
-// must be refused plainly.
+// storeOutage kills an instance during an outage of the store and checks that a
+// configuration change fails with an error.
 func (d *Demo) storeOutage(ctx context.Context) error {
 	d.fleet.Store.SetDown(true)
-	d.say("the store stops")
-	_, err := d.admin.SetZone(ctx, d.zone(), false)
+	d.printProgress("the store is down")
+	_, err := d.admin.SetZone(ctx, d.evacuatedZone(), false)
 	if err == nil {
 		return errors.New("a change was accepted while the store was down")
 	}
 	zones := d.options.Site.Zones
-	dead := standin.InstanceName(zones[d.pick(2)], 0)
-	if _, ok := d.fleet.Instances()[dead]; ok {
-		d.say("instance %s dies during the outage", dead)
-		d.fleet.Kill(dead)
+	failed := standin.InstanceName(zones[d.randomInt(2)], 0)
+	if _, ok := d.fleet.Instances()[failed]; ok {
+		d.printProgress("instance %s is killed during the outage", failed)
+		d.fleet.Kill(failed)
 	}
 	if err := pause(ctx, 3*time.Second); err != nil {
 		return err
 	}
 	d.fleet.Store.SetDown(false)
-	d.say("the store is back")
+	d.printProgress("the store is up again")
 	return nil
 }
 
 func (d *Demo) zoneBack(ctx context.Context) error {
-	z := d.zone()
-	err := d.change(ctx, "zone "+string(z)+" is brought back", func() (carawaycart.Change, error) {
+	z := d.evacuatedZone()
+	err := d.applyChange(ctx, "zone "+string(z)+" is brought back", func() (carawaycart.Change, error) {
 		c, err := d.admin.SetZone(ctx, z, false)
 		if err == nil {
-			d.fleet.Ledger.SetMark(string(z), time.Time{})
+			d.fleet.Ledger.SetCutoff(string(z), time.Time{})
 		}
 		return c, err
 	})
@@ -154,7 +165,7 @@
 		if id != standin.InstanceName(z, 1) {
 			continue
 		}
-		d.say("instance %s is stopped as planned", id)
+		d.printProgress("planned stop of instance %s", id)
 		stop, cancel := context.WithTimeout(ctx, balancer.StopLimit)
 		defer cancel()
 		return d.fleet.Stop(stop, id)
--- a/internal/demo/token.go
+++ b/internal/demo/token.go
@@ -14,40 +14,40 @@
 	"carawaycart/platform/standin"
 )
 
-// TokenOptions choose what RunToken does.
+// TokenOptions configures RunToken.
 type TokenOptions struct {
-	Zones     int // availability zones
-	Hosts     int // of each zone
-	Instances int // of each zone
-	Feeds     int // flows of each zone that stay open
-	Orders    int // a second, of each zone
-	Pause     time.Duration
-	Progress  io.Writer
-	Log       io.Writer // of all instances
+	Zones             int // number of availability zones
+	Endpoints         int // endpoints per zone
+	Instances         int // instances per zone
+	Feeds             int // long-lived flows per zone
+	RequestsPerSecond int // keyed requests per second and zone
+	Pause             time.Duration
+	Progress          io.Writer
+	Log               io.Writer // destination of the logs of all instances
 }
 
-// DefaultTokenOptions returns the options of the demo.
+// DefaultTokenOptions returns the options of the demo, which discard all output.
 func DefaultTokenOptions() TokenOptions {
 	return TokenOptions{
-		Zones: 3, Hosts: 4, Instances: 3, Feeds: 8, Orders: 20, Pause: 1500 * time.Millisecond,
+		Zones: 3, Endpoints: 4, Instances: 3, Feeds: 8, RequestsPerSecond: 20, Pause: 1500 * time.Millisecond,
 		Progress: io.Discard, Log: io.Discard,
 	}
 }
 
-// tokenRun is the state of RunToken.
+// tokenRun is the state of a RunToken call.
 type tokenRun struct {
 	*standin.Site
 	options  TokenOptions
 	machines []standin.Machine
-	edges    []*edge.Edge // nil while an instance is down
+	edges    []*edge.Edge // by index in machines; nil while the instance is down
 	logs     []*eventlog.Log
 }
 
-// RunToken drives instances that serve packets with tokens, on an emulated
-// platform, through planned changes and failures. It returns a summary of what
-// hosts and callers saw, and the promises that were broken.
+// RunToken drives instances that forward packets carrying tokens, on an emulated
+// platform, through planned changes and failures. It returns a summary of the
+// events that endpoints and callers observed, and the violated guarantees.
 func RunToken(ctx context.Context, o TokenOptions) (summary string, broken []string, err error) {
-	site, err := standin.NewSite(o.Zones, o.Hosts)
+	site, err := standin.NewSite(o.Zones, o.Endpoints)
 	if err != nil {
 		return "", nil, err
 	}
@@ -62,19 +62,19 @@
 			r.machines = append(r.machines, m)
 			r.edges = append(r.edges, nil)
 			r.logs = append(r.logs, nil)
-			if err := r.start(len(r.machines) - 1); err != nil {
+			if err := r.startInstance(len(r.machines) - 1); err != nil {
 				return "", nil, err
 			}
 		}
 	}
 	if err := r.await(ctx, func() bool { return site.Routers.Ready() == len(r.machines) }); err != nil {
-		return "", nil, errors.Annotate(err, "wait until instances are in rotation")
+		return "", nil, errors.Annotate(err, "wait for all instances to enter rotation")
 	}
-	site.BeginLoad(o.Feeds, o.Orders)
-	for _, s := range r.script() {
-		_, _ = fmt.Fprintln(o.Progress, s.what)
-		if err := s.do(); err != nil {
-			return "", nil, errors.Annotate(err, s.what)
+	site.BeginLoad(o.Feeds, o.RequestsPerSecond)
+	for _, s := range r.steps() {
+		_, _ = fmt.Fprintln(o.Progress, s.description)
+		if err := s.run(); err != nil {
+			return "", nil, errors.Annotate(err, s.description)
 		}
 		if err := pause(ctx, o.Pause); err != nil {
 			return "", nil, err
@@ -84,45 +84,46 @@
 	return fmt.Sprintf("%s, store calls %d", site.Ledger.Summary(), site.Store.Calls()), site.Ledger.Broken(), nil
 }
 
-// tokenStep is one event of the demo.
+// tokenStep is one step of the demo, a planned change or a failure.
 type tokenStep struct {
-	what string
-	do   func() error
+	description string
+	run         func() error
 }
 
-func (r *tokenRun) script() []tokenStep {
-	quick := func(f func()) func() error {
+func (r *tokenRun) steps() []tokenStep {
+	withoutError := func(f func()) func() error {
 		return func() error { f(); return nil }
 	}
 	zone := r.Zones[1]
 	return []tokenStep{
-		{"all quiet", quick(func() {})},
-		{"a host drains, another starts cold", func() error {
+		{"steady load", withoutError(func() {})},
+		{"an endpoint drains, another starts cold", func() error {
 			r.Drain(r.Hosts[0])
 			_, err := r.AddHost(r.Zones[0], 2*time.Second)
 			return err
 		}},
-		{"an instance is killed", quick(func() { r.Disturb(); r.kill(0) })},
-		{"a host goes dark", quick(func() { r.Disturb(); r.Hosts[2].Set(standin.Dark) })},
-		{"the store falls silent, the killed instance starts again", func() error {
+		{"an instance is killed", withoutError(func() { r.Disturb(); r.killInstance(0) })},
+		{"an endpoint becomes silent", withoutError(func() { r.Disturb(); r.Hosts[2].Set(standin.Dark) })},
+		{"the store stops responding, the killed instance is restarted", func() error {
 			r.Store.SetFault("", standin.FaultSilent)
-			return r.start(0)
+			return r.startInstance(0)
 		}},
-		{"the store is back, a new configuration comes", func() error {
+		{"the store responds again, a new configuration is written", func() error {
 			r.Store.SetFault("", standin.FaultNone)
 			return r.Configure(true)
 		}},
-		{"zone " + zone + " is taken out", quick(func() { r.Evacuate(zone, false) })},
-		{"an instance stops as planned", quick(func() {
+		{"zone " + zone + " is taken out", withoutError(func() { r.Evacuate(zone, false) })},
+		{"an instance stops as planned", withoutError(func() {
 			r.edges[4].Stop()
 			r.logs[4].Close()
 			r.edges[4] = nil
 		})},
-		{"zone " + zone + " is back", quick(func() { r.Evacuate(zone, true) })},
+		{"zone " + zone + " is brought back", withoutError(func() { r.Evacuate(zone, true) })},
 	}
 }
 
-func (r *tokenRun) start(i int) error {
+// startInstance starts instance i. The last instance is the seed of the others.
+func (r *tokenRun) startInstance(i int) error {
 	m := r.machines[i]
 	text := r.Settings(m)
 	if seed := r.machines[len(r.machines)-1]; seed != m {
@@ -141,7 +142,8 @@
 	return err
 }
 
-func (r *tokenRun) kill(i int) {
+// killInstance ends instance i without a planned stop.
+func (r *tokenRun) killInstance(i int) {
 	r.edges[i].Close()
 	r.logs[i].Close()
 	r.edges[i] = nil
@@ -151,19 +153,20 @@
 	r.EndLoad()
 	for i, e := range r.edges {
 		if e != nil {
-			r.kill(i)
+			r.killInstance(i)
 		}
 	}
 	r.Close()
 }
 
-const awaitStep = 20 * time.Millisecond
+const awaitInterval = 20 * time.Millisecond
 
+// await polls condition until it holds. It fails after 10 s or at the end of ctx.
 func (r *tokenRun) await(ctx context.Context, condition func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	for !condition() {
-		if err := pause(ctx, awaitStep); err != nil {
+		if err := pause(ctx, awaitInterval); err != nil {
 			return err
 		}
 	}
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,5 +1,7 @@
-// Package standin holds small stand-ins for the outside systems: the platform's
-// store and instance list, the fabric, endpoints and callers. They run inside
-// the process that drives them, speak the real protocols over loopback, and
-// keep a Ledger of what really arrived.
+// Package standin emulates the systems around a balancer instance: the
+// platform's store and instance list, the fabric, endpoints and callers. The
+// emulators run inside the process that drives them, speak the real protocols
+// over loopback, and record the observed traffic in a Ledger.
+//
+// A keyed request is called an order in the totals and on the wire.
 package standin
--- a/internal/standin/fabric.go
+++ b/internal/standin/fabric.go
@@ -11,9 +11,9 @@
 	"carawaycart"
 )
 
-// Fabric is a stand-in for the platform's fabric: it sprays the packets of
-// callers over the instances, any packet to any instance, and carries the
-// endpoints' answers to callers directly.
+// Fabric emulates the platform's fabric. It sends each packet of a caller to an
+// instance chosen at random, irrespective of the flow, and delivers the replies of
+// endpoints directly to callers.
 type Fabric struct {
 	conn *net.UDPConn
 
@@ -28,12 +28,12 @@
 	address netip.AddrPort
 }
 
-// NewFabric returns a fabric that sends from a free port of address, an IP
-// number, and sprays in an order given by seed.
+// NewFabric returns a fabric without instances that sends from address, a
+// host:port whose port may be 0. The seed determines the choice of instances.
 func NewFabric(address string, seed uint64) (*Fabric, error) {
 	a, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return nil, errors.Annotate(err, "address of fabric")
+		return nil, errors.Annotate(err, "resolve address of fabric")
 	}
 	conn, err := net.ListenUDP("udp", a)
 	if err != nil {
@@ -44,17 +44,17 @@
 	}, nil
 }
 
-// Close stops the fabric.
+// Close closes the socket of the fabric.
 func (f *Fabric) Close() { _ = f.conn.Close() }
 
-// Add makes the fabric send packets to an instance.
+// Add adds an instance to which the fabric sends packets.
 func (f *Fabric) Add(id carawaycart.InstanceID, address netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.instances = append(f.instances, target{id: id, address: address})
 }
 
-// Remove makes the fabric send no more packets to an instance.
+// Remove stops the fabric from sending packets to an instance.
 func (f *Fabric) Remove(id carawaycart.InstanceID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,7 +67,8 @@
 	f.instances = kept
 }
 
-// Send hands the datagram of a caller to any instance; with none it is lost.
+// Send sends a caller's datagram to a random instance. It drops the datagram if
+// there is no instance.
 func (f *Fabric) Send(datagram []byte) {
 	f.mu.Lock()
 	if len(f.instances) == 0 {
@@ -79,20 +80,22 @@
 	_, _ = f.conn.WriteToUDPAddrPort(datagram, t.address)
 }
 
-// attach makes the fabric carry answers for the caller at address to receive.
+// attach registers receive for the replies to the caller at address.
 func (f *Fabric) attach(address netip.AddrPort, receive func(reply)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.callers[address] = receive
 }
 
+// detach removes the registration of the caller at address.
 func (f *Fabric) detach(address netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.callers, address)
 }
 
-// deliver carries an endpoint's answer to the caller at address.
+// deliver passes an endpoint's reply to the caller at address. It drops the reply
+// if the caller is not attached.
 func (f *Fabric) deliver(address netip.AddrPort, r reply) {
 	f.mu.Lock()
 	receive := f.callers[address]
--- a/internal/standin/flowcaller.go
+++ b/internal/standin/flowcaller.go
@@ -12,78 +12,81 @@
 )
 
 const (
-	firstTimeout = 400 * time.Millisecond // until a segment is sent again
-	maxTimeout   = 1600 * time.Millisecond
-	maxTries     = 9 // of one segment, before its flow counts as broken
+	initialTimeout     = 400 * time.Millisecond // before the first retransmission of a segment
+	maxTimeout         = 1600 * time.Millisecond
+	maxSegmentAttempts = 9 // transmissions of a segment before its flow counts as broken
 )
 
-// FlowConfig describes a flow of a caller.
+// FlowConfig describes an emulated flow.
 type FlowConfig struct {
 	Caller   netip.AddrPort
 	Service  netip.AddrPort
-	Interval time.Duration // between data segments
-	Deadline time.Time     // when the caller ends the flow
+	Interval time.Duration // time between data segments
+	Deadline time.Time     // time at which the caller closes the flow
 }
 
-// FlowCaller is a stand-in for a caller with one feed or upload.
+// FlowCaller emulates a caller with one flow, either a long-lived feed or a short
+// upload.
 type FlowCaller struct {
 	config FlowConfig
 	fabric *Fabric
 	ledger *Ledger
-	zones  func(carawaycart.EndpointID) carawaycart.ZoneID
+	zoneOf func(carawaycart.EndpointID) carawaycart.ZoneID
 
-	mu      sync.Mutex
-	replies chan reply
-	host    carawaycart.EndpointID
+	mu       sync.Mutex
+	replies  chan reply
+	endpoint carawaycart.EndpointID
 }
 
-// NewFlowCaller returns a caller whose flow is not yet opened; zones gives the
-// availability zone of a host.
-func NewFlowCaller(c FlowConfig, f *Fabric, l *Ledger, zones func(carawaycart.EndpointID) carawaycart.ZoneID) *FlowCaller {
-	return &FlowCaller{config: c, fabric: f, ledger: l, zones: zones, replies: make(chan reply, 8)}
+// NewFlowCaller returns a caller whose flow is not open. The function zoneOf
+// returns the availability zone of an endpoint.
+func NewFlowCaller(c FlowConfig, f *Fabric, l *Ledger, zoneOf func(carawaycart.EndpointID) carawaycart.ZoneID) *FlowCaller {
+	return &FlowCaller{config: c, fabric: f, ledger: l, zoneOf: zoneOf, replies: make(chan reply, 8)}
 }
 
-// Host returns the host that the flow is established with, if any.
-func (c *FlowCaller) Host() carawaycart.EndpointID {
+// Endpoint returns the endpoint of the established flow, or the empty ID if the
+// flow is not open.
+func (c *FlowCaller) Endpoint() carawaycart.EndpointID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.host
+	return c.endpoint
 }
 
-// Run opens the flow, keeps it up until its deadline or the end of ctx, and
-// counts how it ended.
+// Run opens the flow, sends data until the deadline of the flow or the end of
+// ctx, and counts the outcome in the ledger.
 func (c *FlowCaller) Run(ctx context.Context) {
 	c.fabric.attach(c.config.Caller, func(r reply) {
 		select {
 		case c.replies <- r:
-		default: // as a full socket buffer
+		default: // dropped, as by a full socket buffer
 		}
 	})
 	defer c.fabric.detach(c.config.Caller)
 	first, ok := c.exchange(ctx, Segment{SYN: true}, func(r reply) bool { return r.syn })
 	if !ok {
 		if ctx.Err() == nil {
-			c.ledger.Count(func(t *Totals) { t.FlowsNotOpened++ })
+			c.ledger.Update(func(t *Totals) { t.FlowsNotOpened++ })
 		}
 		return
 	}
-	c.setHost(first.host)
-	defer c.setHost("")
-	c.ledger.Count(func(t *Totals) { t.FlowsOpened++ })
-	if !c.stream(ctx, first.host) {
-		c.broken(first.host)
+	c.setEndpoint(first.endpoint)
+	defer c.setEndpoint("")
+	c.ledger.Update(func(t *Totals) { t.FlowsOpened++ })
+	if !c.stream(ctx, first.endpoint) {
+		c.recordBroken(first.endpoint)
 	}
 }
 
-func (c *FlowCaller) setHost(h carawaycart.EndpointID) {
+func (c *FlowCaller) setEndpoint(h carawaycart.EndpointID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.host = h
+	c.endpoint = h
 }
 
-// stream sends data until the flow is to end, and reports whether all of it was
-// acknowledged by host.
-func (c *FlowCaller) stream(ctx context.Context, host carawaycart.EndpointID) bool {
+// stream sends data until the deadline of the flow or the end of ctx and then
+// closes the flow. It returns false if a segment is reset, not acknowledged, or
+// acknowledged by another endpoint.
+func (c *FlowCaller) stream(ctx context.Context, endpoint carawaycart.EndpointID) bool {
 	ticker := time.NewTicker(c.config.Interval)
 	defer ticker.Stop()
 	for number := uint32(1); ; number++ {
@@ -99,19 +102,21 @@
 		}
 		s := Segment{ACK: true, Number: number, Payload: dataPayload(number)}
 		r, ok := c.exchange(context.WithoutCancel(ctx), s, func(r reply) bool { return r.number == number })
-		if !ok || r.host != host {
-			klog.V(1).InfoS("flow broken", "caller", c.config.Caller, "host", host, "answered", r.host, "reset", r.rst, "number", number)
+		if !ok || r.endpoint != endpoint {
+			klog.V(1).InfoS("flow broken", "caller", c.config.Caller, "host", endpoint, "answered", r.endpoint, "reset", r.rst, "number", number)
 			return false
 		}
 	}
 }
 
-// exchange sends s until an answer matches; a reset ends it.
+// exchange sends s, with exponential backoff up to maxTimeout, until a reply
+// matches. It returns false on a reset, at the end of ctx, or after
+// maxSegmentAttempts transmissions.
 func (c *FlowCaller) exchange(ctx context.Context, s Segment, match func(reply) bool) (reply, bool) {
-	timeout := firstTimeout
-	for range maxTries {
+	timeout := initialTimeout
+	for range maxSegmentAttempts {
 		c.send(s)
-		r, ok := c.await(ctx, timeout, match)
+		r, ok := c.awaitReply(ctx, timeout, match)
 		if ok {
 			return r, !r.rst
 		}
@@ -123,7 +128,9 @@
 	return reply{}, false
 }
 
-func (c *FlowCaller) await(ctx context.Context, timeout time.Duration, match func(reply) bool) (reply, bool) {
+// awaitReply returns the next reply that is a reset or matches, or false after
+// timeout or at the end of ctx.
+func (c *FlowCaller) awaitReply(ctx context.Context, timeout time.Duration, match func(reply) bool) (reply, bool) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
@@ -150,10 +157,12 @@
 	c.fabric.Send(datagram)
 }
 
-func (c *FlowCaller) broken(host carawaycart.EndpointID) {
-	out := c.ledger.out(string(c.zones(host)))
-	c.ledger.Count(func(t *Totals) {
-		if out {
+// recordBroken counts a broken flow, separately if the zone of its endpoint has
+// been taken out.
+func (c *FlowCaller) recordBroken(endpoint carawaycart.EndpointID) {
+	hasCutoff := c.ledger.hasCutoff(string(c.zoneOf(endpoint)))
+	c.ledger.Update(func(t *Totals) {
+		if hasCutoff {
 			t.FlowsGivenUpByZoneOut++
 		} else {
 			t.FlowsBroken++
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -19,84 +19,86 @@
 )
 
 const (
-	reportLag     = 300 * time.Millisecond
-	reportHistory = 100 * time.Millisecond
-	coldGrace     = 1500 * time.Millisecond // the balancer cannot know at once
-	serviceTime   = 15 * time.Millisecond   // to run one request
-	hostBuffer    = 2048
+	reportDelay        = 300 * time.Millisecond
+	reportInterval     = 100 * time.Millisecond
+	coldGrace          = 1500 * time.Millisecond // instances learn of a cold endpoint only with a delay
+	serviceTime        = 15 * time.Millisecond   // execution time of a request
+	receiveBufferBytes = 2048
 )
 
-// HostConfig describes an endpoint stand-in.
-type HostConfig struct {
+// EndpointConfig describes an emulated endpoint.
+type EndpointConfig struct {
 	ID             carawaycart.EndpointID
 	Service        carawaycart.ServiceID
 	ServiceAddress netip.AddrPort
 	Zone           carawaycart.ZoneID
-	Flows          int // connections that it can hold
-	Slots          int // requests that it can run at once
-	ColdFlows      int // new flows that it bears while cold
-	ColdRequests   int // requests that it bears at once while cold
+	Flows          int // maximum number of established flows
+	Slots          int // maximum number of concurrent requests
+	ColdFlows      int // maximum number of flows opened while cold
+	ColdRequests   int // maximum number of concurrent requests while cold
 }
 
-// Host is a stand-in for an endpoint: one host of a service, with request slots
-// and a connection limit, which starts cold and sheds what it has no room for.
+// Host emulates an endpoint of a service. It rejects flows and requests beyond
+// its limits, which are lower while it is cold.
 type Host struct {
-	config HostConfig
+	config EndpointConfig
 	ledger *Ledger
 	fabric *Fabric
 	conn   *net.UDPConn
 	server *http.Server
 	http   net.Listener
 
-	mu         sync.Mutex
-	flows      map[netip.AddrPort]bool // established, by caller
-	coldSince  time.Time
-	coldUntil  time.Time
-	coldOpened int
-	requests   int
-	silent     bool
-	mislead    func(*carawaycart.Report)
-	reports    []timedReport
+	mu          sync.Mutex
+	flows       map[netip.AddrPort]bool // established flows by caller
+	coldSince   time.Time
+	coldUntil   time.Time
+	coldFlows   int
+	requests    int
+	reportsDown bool
+	reportHook  func(*carawaycart.Report)
+	reports     []timedReport
 
 	done sync.WaitGroup
 	quit chan struct{}
 }
 
+// timedReport is a load report and the time at which it was sampled.
 type timedReport struct {
 	report carawaycart.Report
 	time   time.Time
 }
 
-// NewHost returns a running host on free ports of address, an IP number.
-func NewHost(c HostConfig, address string, l *Ledger, f *Fabric) (*Host, error) {
+// NewHost starts an endpoint that listens for packets (UDP) and requests (TCP)
+// on address, a host:port whose port may be 0.
+func NewHost(c EndpointConfig, address string, l *Ledger, f *Fabric) (*Host, error) {
 	a, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return nil, errors.Annotatef(err, "address of host %s", c.ID)
+		return nil, errors.Annotatef(err, "resolve address of endpoint %s", c.ID)
 	}
 	conn, err := net.ListenUDP("udp", a)
 	if err != nil {
-		return nil, errors.Annotatef(err, "listen for host %s", c.ID)
+		return nil, errors.Annotatef(err, "listen for endpoint %s", c.ID)
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		_ = conn.Close()
-		return nil, errors.Annotatef(err, "listen for host %s", c.ID)
+		return nil, errors.Annotatef(err, "listen for endpoint %s", c.ID)
 	}
 	h := &Host{
 		config: c, ledger: l, fabric: f, conn: conn, http: listener,
 		flows: make(map[netip.AddrPort]bool), quit: make(chan struct{}),
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /load", h.load)
-	mux.HandleFunc("/", h.serve)
+	mux.HandleFunc("GET /load", h.handleLoad)
+	mux.HandleFunc("/", h.handleRequest)
 	h.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	h.done.Go(func() { _ = h.server.Serve(listener) })
 	h.done.Go(h.receive)
-	h.done.Go(h.sample)
+	h.done.Go(h.sampleReports)
 	return h, nil
 }
 
-// Endpoint returns the configuration object that describes the host.
+// Endpoint returns the configuration object that describes the endpoint.
 func (h *Host) Endpoint() carawaycart.Endpoint {
 	return carawaycart.Endpoint{
 		ID: h.config.ID, Service: h.config.Service, Zone: h.config.Zone,
@@ -106,7 +108,7 @@
 	}
 }
 
-// Close stops the host.
+// Close stops the endpoint and waits for its goroutines.
 func (h *Host) Close() {
 	close(h.quit)
 	_ = h.conn.Close()
@@ -114,50 +116,51 @@
 	h.done.Wait()
 }
 
-// TurnCold makes the host cold for d; its established flows go on.
-func (h *Host) TurnCold(d time.Duration) {
+// SetCold makes the endpoint cold for d. Established flows continue.
+func (h *Host) SetCold(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.coldSince = time.Now()
 	h.coldUntil = h.coldSince.Add(d)
-	h.coldOpened = 0
+	h.coldFlows = 0
 }
 
-// SetSilent starts or ends a silence of the host's reports.
-func (h *Host) SetSilent(silent bool) {
+// SetReportsDown starts or ends an outage of the endpoint's load reports.
+func (h *Host) SetReportsDown(reportsDown bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.silent = silent
+	h.reportsDown = reportsDown
 }
 
-// SetMislead lets change alter every report before it is sent; nil ends that.
-func (h *Host) SetMislead(change func(*carawaycart.Report)) {
+// SetReportHook sets a function that alters each load report before it is sent.
+// A nil function removes the hook.
+func (h *Host) SetReportHook(change func(*carawaycart.Report)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.mislead = change
+	h.reportHook = change
 }
 
-// Flows returns how many flows are established.
+// Flows returns the number of established flows.
 func (h *Host) Flows() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.flows)
 }
 
-// Zone returns the availability zone of the host.
+// Zone returns the availability zone of the endpoint.
 func (h *Host) Zone() carawaycart.ZoneID { return h.config.Zone }
 
 func (h *Host) cold(now time.Time) bool { return now.Before(h.coldUntil) }
 
-// mustBeSpared reports whether the cold host has been so for long enough that the
-// balancer must know.
-func (h *Host) mustBeSpared(now time.Time) bool {
+// coldKnown reports whether the endpoint has been cold for at least coldGrace, so
+// that every instance must have learned of it from the load reports.
+func (h *Host) coldKnown(now time.Time) bool {
 	return h.cold(now) && now.Sub(h.coldSince) >= coldGrace
 }
 
 func (h *Host) receive() {
 	var d segmentDecoder
-	buffer := make([]byte, hostBuffer)
+	buffer := make([]byte, receiveBufferBytes)
 	for {
 		n, err := h.conn.Read(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -170,55 +173,57 @@
 		if err != nil {
 			continue
 		}
-		h.handle(&s, time.Now())
+		h.handleSegment(&s, time.Now())
 	}
 }
 
-func (h *Host) handle(s *Segment, now time.Time) {
+func (h *Host) handleSegment(s *Segment, now time.Time) {
 	if s.Destination != h.config.ServiceAddress {
-		h.ledger.Count(func(t *Totals) { t.PacketsToWrongService++ })
+		h.ledger.Update(func(t *Totals) { t.PacketsToWrongService++ })
 		return
 	}
-	if h.ledger.marked(string(h.config.Zone), now) {
-		h.ledger.Count(func(t *Totals) { t.PacketsAfterZoneOut++ })
+	if h.ledger.pastCutoff(string(h.config.Zone), now) {
+		h.ledger.Update(func(t *Totals) { t.PacketsAfterZoneOut++ })
 	}
-	h.fabric.deliver(s.Source, h.answer(s, now))
+	h.fabric.deliver(s.Source, h.processSegment(s, now))
 }
 
-// answer takes in a segment and returns what the caller is sent.
-func (h *Host) answer(s *Segment, now time.Time) reply {
+// processSegment applies a segment to the flow table and returns the reply for
+// the caller.
+func (h *Host) processSegment(s *Segment, now time.Time) reply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	known := h.flows[s.Source]
 	switch {
 	case s.SYN && !known:
-		if !h.open(s.Source, now) {
-			return reply{host: h.config.ID, rst: true}
+		if !h.openFlow(s.Source, now) {
+			return reply{endpoint: h.config.ID, rst: true}
 		}
-		return reply{host: h.config.ID, syn: true}
+		return reply{endpoint: h.config.ID, syn: true}
 	case s.SYN:
-		return reply{host: h.config.ID, syn: true}
+		return reply{endpoint: h.config.ID, syn: true}
 	case s.FIN || s.RST:
 		delete(h.flows, s.Source)
-		return reply{host: h.config.ID, number: s.Number}
+		return reply{endpoint: h.config.ID, number: s.Number}
 	case !known:
-		return reply{host: h.config.ID, rst: true}
+		return reply{endpoint: h.config.ID, rst: true}
 	}
-	return reply{host: h.config.ID, number: s.Number}
+	return reply{endpoint: h.config.ID, number: s.Number}
 }
 
-func (h *Host) open(caller netip.AddrPort, now time.Time) bool {
-	if h.ledger.marked(string(h.config.ID), now) {
-		h.ledger.Count(func(t *Totals) { t.WorkAfterLeave++ })
+// openFlow records a new flow and reports whether the limits permit it.
+func (h *Host) openFlow(caller netip.AddrPort, now time.Time) bool {
+	if h.ledger.pastCutoff(string(h.config.ID), now) {
+		h.ledger.Update(func(t *Totals) { t.WorkAfterLeave++ })
 	}
 	if len(h.flows) >= h.config.Flows {
 		return false
 	}
 	if h.cold(now) {
-		h.coldOpened++
-		if h.coldOpened > h.config.ColdFlows {
-			if h.mustBeSpared(now) {
-				h.ledger.Count(func(t *Totals) { t.ColdOverload++ })
+		h.coldFlows++
+		if h.coldFlows > h.config.ColdFlows {
+			if h.coldKnown(now) {
+				h.ledger.Update(func(t *Totals) { t.ColdOverload++ })
 			}
 			return false
 		}
@@ -227,9 +232,10 @@
 	return true
 }
 
-// sample keeps the reports of the last moments, so that they can lag.
-func (h *Host) sample() {
-	ticker := time.NewTicker(reportHistory)
+// sampleReports samples the load every reportInterval and retains the samples for
+// reportDelay, so that reports arrive late as in a real system.
+func (h *Host) sampleReports() {
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -241,7 +247,7 @@
 				report: carawaycart.Report{Flows: len(h.flows), Requests: h.requests, Cold: h.cold(now)},
 				time:   now,
 			})
-			for len(h.reports) > 1 && now.Sub(h.reports[1].time) >= reportLag {
+			for len(h.reports) > 1 && now.Sub(h.reports[1].time) >= reportDelay {
 				h.reports = h.reports[1:]
 			}
 			h.mu.Unlock()
@@ -249,54 +255,58 @@
 	}
 }
 
-func (h *Host) load(w http.ResponseWriter, _ *http.Request) {
+// handleLoad serves the delayed load report.
+func (h *Host) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	h.mu.Lock()
-	silent := h.silent
+	reportsDown := h.reportsDown
 	report := carawaycart.Report{Cold: h.cold(time.Now())}
 	if len(h.reports) > 0 {
 		report = h.reports[0].report
 	}
-	if h.mislead != nil {
-		h.mislead(&report)
+	if h.reportHook != nil {
+		h.reportHook(&report)
 	}
 	h.mu.Unlock()
-	if silent {
+	if reportsDown {
 		http.Error(w, "silent", http.StatusServiceUnavailable)
 		return
 	}
 	writeJSON(w, report)
 }
 
-// OrderAnswer is a host's answer to a request.
-type OrderAnswer struct {
+// RequestAnswer is the body of an endpoint's response to a request. Size is the
+// length of the request's body in bytes.
+type RequestAnswer struct {
 	Key  carawaycart.IdempotencyKey `json:"key"`
 	Host carawaycart.EndpointID     `json:"host"`
 	Size int                        `json:"size"`
 }
 
-func (h *Host) serve(w http.ResponseWriter, r *http.Request) {
+// handleRequest runs a request, or marks its response as not run if the endpoint
+// has no free slot or the caller's timeout is too short.
+func (h *Host) handleRequest(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	if r.Host != string(h.config.Service) {
-		h.ledger.Count(func(t *Totals) { t.PacketsToWrongService++ })
+		h.ledger.Update(func(t *Totals) { t.PacketsToWrongService++ })
 	}
-	if !h.inTime(r) || !h.admit(now) {
+	if !h.withinTimeout(r) || !h.acquireSlot(now) {
 		w.Header().Set(endpoint.NotRunHeader, "1")
 		http.Error(w, "no room", http.StatusServiceUnavailable)
 		return
 	}
-	defer h.finish()
+	defer h.releaseSlot()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	key := carawaycart.IdempotencyKey(r.Header.Get(caller.KeyHeader))
 	if r.Method == http.MethodPost && key != "" {
-		h.ledger.run(key)
+		h.ledger.recordRun(key)
 	}
-	if !work(r.Context()) {
-		return // the caller has gone; the order counts as run all the same
+	if !simulateWork(r.Context()) {
+		return // the request was cancelled after it was recorded as run
 	}
-	answer := OrderAnswer{Key: key, Host: h.config.ID, Size: len(body)}
+	answer := RequestAnswer{Key: key, Host: h.config.ID, Size: len(body)}
 	data, err := json.Marshal(answer)
 	if err != nil {
 		return
@@ -306,9 +316,10 @@
 	_, _ = w.Write(data)
 }
 
-// inTime reports whether the request can be run within the time that its caller
-// will wait.
-func (h *Host) inTime(r *http.Request) bool {
+// withinTimeout reports whether the caller's timeout leaves enough time to run the
+// request. A request without a timeout passes; one whose timeout is not a number
+// does not.
+func (h *Host) withinTimeout(r *http.Request) bool {
 	text := r.Header.Get(caller.TimeoutHeader)
 	if text == "" {
 		return true
@@ -317,8 +328,8 @@
 	return err == nil && time.Duration(ms)*time.Millisecond >= serviceTime
 }
 
-// work takes serviceTime and reports whether it was not cancelled.
-func work(ctx context.Context) bool {
+// simulateWork blocks for serviceTime. It returns false if ctx ends first.
+func simulateWork(ctx context.Context) bool {
 	timer := time.NewTimer(serviceTime)
 	defer timer.Stop()
 	select {
@@ -329,13 +340,14 @@
 	}
 }
 
-// admit takes a slot, or sheds the request.
-func (h *Host) admit(now time.Time) bool {
-	if h.ledger.marked(string(h.config.ID), now) {
-		h.ledger.Count(func(t *Totals) { t.WorkAfterLeave++ })
+// acquireSlot reserves a request slot. It returns false and counts a shed request
+// if no slot is free.
+func (h *Host) acquireSlot(now time.Time) bool {
+	if h.ledger.pastCutoff(string(h.config.ID), now) {
+		h.ledger.Update(func(t *Totals) { t.WorkAfterLeave++ })
 	}
-	if h.ledger.marked(string(h.config.Zone), now) {
-		h.ledger.Count(func(t *Totals) { t.PacketsAfterZoneOut++ })
+	if h.ledger.pastCutoff(string(h.config.Zone), now) {
+		h.ledger.Update(func(t *Totals) { t.PacketsAfterZoneOut++ })
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -344,8 +356,8 @@
 		limit = min(limit, h.config.ColdRequests)
 	}
 	if h.requests >= limit {
-		overload := h.mustBeSpared(now)
-		h.ledger.Count(func(t *Totals) {
+		overload := h.coldKnown(now)
+		h.ledger.Update(func(t *Totals) {
 			t.RequestsShed++
 			if overload {
 				t.ColdOverload++
@@ -357,7 +369,7 @@
 	return true
 }
 
-func (h *Host) finish() {
+func (h *Host) releaseSlot() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.requests--
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -7,16 +7,16 @@
 	"carawaycart"
 )
 
-// Ledger counts what really happened, as the stand-ins saw it; it is safe for
-// concurrent use.
+// Ledger counts the events that the emulated endpoints and callers observe. It is
+// safe for concurrent use.
 type Ledger struct {
-	mu     sync.Mutex
-	totals Totals
-	runs   map[carawaycart.IdempotencyKey]int
-	marks  map[string]time.Time // when an endpoint or zone must get nothing more
+	mu      sync.Mutex
+	totals  Totals
+	runs    map[carawaycart.IdempotencyKey]int
+	cutoffs map[string]time.Time // by endpoint or zone: time from which it must receive no more work
 }
 
-// Totals are the sums of a ledger.
+// Totals are the event counts of a ledger. An order is a keyed request.
 type Totals struct {
 	FlowsOpened           int `json:"flowsOpened"`
 	FlowsBroken           int `json:"flowsBroken"`
@@ -38,27 +38,27 @@
 	RequestsShed          int `json:"requestsShed"`
 }
 
-// NewLedger returns an empty ledger.
+// NewLedger returns a ledger whose totals are zero.
 func NewLedger() *Ledger {
-	return &Ledger{runs: make(map[carawaycart.IdempotencyKey]int), marks: make(map[string]time.Time)}
+	return &Ledger{runs: make(map[carawaycart.IdempotencyKey]int), cutoffs: make(map[string]time.Time)}
 }
 
-// Count lets update change the totals.
-func (l *Ledger) Count(update func(*Totals)) {
+// Update calls update with the totals while holding the ledger's lock.
+func (l *Ledger) Update(update func(*Totals)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	update(&l.totals)
 }
 
-// Totals returns the sums.
+// Totals returns a copy of the totals.
 func (l *Ledger) Totals() Totals {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.totals
 }
 
-// run counts a run of the order with key k.
-func (l *Ledger) run(k carawaycart.IdempotencyKey) {
+// recordRun counts an execution of the keyed request with key k.
+func (l *Ledger) recordRun(k carawaycart.IdempotencyKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[k]++
@@ -67,37 +67,39 @@
 	}
 }
 
-// Runs returns how often the order with key k was run.
+// Runs returns how often the keyed request with key k was executed.
 func (l *Ledger) Runs(k carawaycart.IdempotencyKey) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[k]
 }
 
-// SetMark states that the named endpoint or zone must get nothing more from
-// deadline on; a zero deadline ends that.
-func (l *Ledger) SetMark(name string, deadline time.Time) {
+// SetCutoff sets the time from which the named endpoint or zone must receive no
+// more work. A zero deadline removes the cutoff.
+func (l *Ledger) SetCutoff(name string, deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if deadline.IsZero() {
-		delete(l.marks, name)
+		delete(l.cutoffs, name)
 		return
 	}
-	l.marks[name] = deadline
+	l.cutoffs[name] = deadline
 }
 
-// marked reports whether the named endpoint or zone must get nothing at now.
-func (l *Ledger) marked(name string, now time.Time) bool {
+// pastCutoff reports whether the cutoff of the named endpoint or zone has been
+// reached at now.
+func (l *Ledger) pastCutoff(name string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	deadline, ok := l.marks[name]
+	deadline, ok := l.cutoffs[name]
 	return ok && !now.Before(deadline)
 }
 
-// out reports whether the named zone was taken out, however lately.
-func (l *Ledger) out(name string) bool {
+// hasCutoff reports whether a cutoff is set for the named endpoint or zone, even
+// if it has not been reached.
+func (l *Ledger) hasCutoff(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, ok := l.marks[name]
+	_, ok := l.cutoffs[name]
 	return ok
 }
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -11,7 +11,8 @@
 	"carawaycart"
 )
 
-// List is a stand-in for the platform's instance list, which lags.
+// List emulates the platform's instance list. Changes become visible after a
+// fixed delay.
 type List struct {
 	mu      sync.Mutex
 	lag     time.Duration
@@ -20,19 +21,20 @@
 	url     string
 }
 
-// listChange is an instance that appeared, or went if gone.
+// listChange records that an instance was added, or removed if removed is set.
+// It takes effect at the time visible.
 type listChange struct {
 	instance carawaycart.ListedInstance
-	gone     bool
+	removed  bool
 	visible  time.Time
 }
 
-// NewList returns a running list that listens on a free port of address, an IP
-// number, and shows changes after lag.
+// NewList starts a list that listens on address, a host:port whose port may be 0,
+// and publishes each change after lag.
 func NewList(address string, lag time.Duration) (*List, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Annotate(err, "listen for list")
+		return nil, errors.Annotate(err, "listen for instance list")
 	}
 	l := &List{lag: lag, url: "http://" + listener.Addr().String()}
 	mux := http.NewServeMux()
@@ -42,26 +44,27 @@
 	return l, nil
 }
 
-// URL returns the address of the list.
+// URL returns the base URL of the list.
 func (l *List) URL() string { return l.url }
 
-// Close stops the list.
+// Close stops the HTTP server of the list.
 func (l *List) Close() { _ = l.server.Close() }
 
-// Add lists an instance.
+// Add adds an instance to the list.
 func (l *List) Add(i carawaycart.ListedInstance) { l.change(i, false) }
 
-// Remove takes an instance off the list.
+// Remove removes an instance from the list.
 func (l *List) Remove(id carawaycart.InstanceID) {
 	l.change(carawaycart.ListedInstance{ID: id}, true)
 }
 
-func (l *List) change(i carawaycart.ListedInstance, gone bool) {
+func (l *List) change(i carawaycart.ListedInstance, removed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.changes = append(l.changes, listChange{instance: i, gone: gone, visible: time.Now().Add(l.lag)})
+	l.changes = append(l.changes, listChange{instance: i, removed: removed, visible: time.Now().Add(l.lag)})
 }
 
+// listed returns the instances that are visible now.
 func (l *List) listed() []carawaycart.ListedInstance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +81,7 @@
 			}
 		}
 		instances = kept
-		if !c.gone {
+		if !c.removed {
 			instances = append(instances, c.instance)
 		}
 	}
--- a/internal/standin/segment.go
+++ b/internal/standin/segment.go
@@ -12,10 +12,11 @@
 	"carawaycart/io/fabric"
 )
 
-// network is the Geneve network identifier of the stand-in fabric.
-const network = 7
+// geneveNetwork is the Geneve virtual network identifier of the emulated fabric.
+const geneveNetwork = 7
 
-// Segment is a TCP segment of the stand-ins' flows.
+// Segment is a TCP segment of an emulated flow. Number identifies the data that
+// the segment carries or acknowledges and is sent as the TCP sequence number.
 type Segment struct {
 	Source      netip.AddrPort
 	Destination netip.AddrPort
@@ -23,11 +24,11 @@
 	ACK         bool
 	FIN         bool
 	RST         bool
-	Number      uint32 // of the data that it carries or acknowledges
+	Number      uint32
 	Payload     []byte
 }
 
-// Encode returns the Geneve datagram that holds s.
+// Encode returns a Geneve datagram that carries s.
 func (s *Segment) Encode() ([]byte, error) {
 	ip := &layers.IPv4{
 		Version: 4, TTL: 64, Protocol: layers.IPProtocolTCP,
@@ -45,16 +46,18 @@
 	if err := gopacket.SerializeLayers(b, options, ip, tcp, gopacket.Payload(s.Payload)); err != nil {
 		return nil, errors.Annotate(err, "encode segment")
 	}
-	return fabric.Encode(b.Bytes(), network)
+	return fabric.Encode(b.Bytes(), geneveNetwork)
 }
 
-// segmentDecoder decodes segments; it is not safe for concurrent use.
+// segmentDecoder decodes segments from Geneve datagrams. It is not safe for
+// concurrent use.
 type segmentDecoder struct {
 	geneve layers.Geneve
 	ip     layers.IPv4
 	tcp    layers.TCP
 }
 
+// decode returns the segment in datagram. Its payload aliases datagram.
 func (d *segmentDecoder) decode(datagram []byte) (Segment, error) {
 	var s Segment
 	for _, layer := range []struct {
@@ -80,17 +83,19 @@
 	return s, nil
 }
 
-// reply is what an endpoint sends to a caller directly.
+// reply is an endpoint's response to a segment. It reaches the caller without
+// passing an instance.
 type reply struct {
-	host   carawaycart.EndpointID
-	syn    bool
-	rst    bool
-	number uint32
+	endpoint carawaycart.EndpointID
+	syn      bool
+	rst      bool
+	number   uint32
 }
 
-// dataSegmentBytes is the payload of a feed's segment.
+// dataSegmentBytes is the payload size of a data segment.
 const dataSegmentBytes = 64
 
+// dataPayload returns a payload that starts with number in big-endian order.
 func dataPayload(number uint32) []byte {
 	b := make([]byte, dataSegmentBytes)
 	binary.BigEndian.PutUint32(b, number)
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -9,7 +9,7 @@
 	"carawaycart"
 )
 
-// Site describes one customer's installation at its size of today.
+// Site describes one customer's installation at its current size.
 type Site struct {
 	Name      string
 	Zones     []carawaycart.ZoneID
@@ -20,11 +20,11 @@
 
 // SiteService describes one service of a site.
 type SiteService struct {
-	ID      carawaycart.ServiceID
-	Address netip.AddrPort
-	Hosts   int
-	Flows   int // connections that each host can hold
-	Slots   int
+	ID            carawaycart.ServiceID
+	Address       netip.AddrPort
+	EndpointCount int
+	Flows         int // maximum number of established flows of each endpoint
+	Slots         int // maximum number of concurrent requests of each endpoint
 }
 
 // Sites returns the installations of both customers.
@@ -32,18 +32,18 @@
 	return []Site{
 		{
 			Name: "froepapir", Zones: []carawaycart.ZoneID{"bergen-a", "bergen-b", "voss", "stord"}, Instances: 16,
-			Main:   SiteService{ID: "pressdesk", Address: netip.MustParseAddrPort("192.0.2.1:443"), Hosts: 14, Flows: 4200, Slots: 2},
-			Intake: SiteService{ID: "artintake", Address: netip.MustParseAddrPort("192.0.2.2:443"), Hosts: 4, Flows: 4200, Slots: 2},
+			Main:   SiteService{ID: "pressdesk", Address: netip.MustParseAddrPort("192.0.2.1:443"), EndpointCount: 14, Flows: 4200, Slots: 2},
+			Intake: SiteService{ID: "artintake", Address: netip.MustParseAddrPort("192.0.2.2:443"), EndpointCount: 4, Flows: 4200, Slots: 2},
 		},
 		{
 			Name: "brunnhalder", Zones: []carawaycart.ZoneID{"ch-ost-a", "ch-ost-b", "ch-ost-c", "ch-ost-d"}, Instances: 16,
-			Main:   SiteService{ID: "werkstatt-board", Address: netip.MustParseAddrPort("192.0.2.1:443"), Hosts: 14, Flows: 4000, Slots: 2},
-			Intake: SiteService{ID: "hof-inspektion", Address: netip.MustParseAddrPort("192.0.2.2:443"), Hosts: 4, Flows: 4000, Slots: 2},
+			Main:   SiteService{ID: "werkstatt-board", Address: netip.MustParseAddrPort("192.0.2.1:443"), EndpointCount: 14, Flows: 4000, Slots: 2},
+			Intake: SiteService{ID: "hof-inspektion", Address: netip.MustParseAddrPort("192.0.2.2:443"), EndpointCount: 4, Flows: 4000, Slots: 2},
 		},
 	}
 }
 
-// SiteByName returns the named site; the error is NotFound.
+// SiteByName returns the named site, or a NotFound error if there is none.
 func SiteByName(name string) (Site, error) {
 	for _, s := range Sites() {
 		if s.Name == name {
@@ -53,12 +53,12 @@
 	return Site{}, errors.NotFoundf("site %q (want froepapir or brunnhalder)", name)
 }
 
-// HostName returns the name of host i of a service.
-func HostName(s carawaycart.ServiceID, i int) carawaycart.EndpointID {
+// EndpointName returns the ID of the endpoint with zero-based index i of a service.
+func EndpointName(s carawaycart.ServiceID, i int) carawaycart.EndpointID {
 	return carawaycart.EndpointID(fmt.Sprintf("%s-%02d", s, i+1))
 }
 
-// InstanceName returns the name of instance i in a zone.
+// InstanceName returns the ID of the instance with zero-based index i in a zone.
 func InstanceName(z carawaycart.ZoneID, i int) carawaycart.InstanceID {
 	return carawaycart.InstanceID(fmt.Sprintf("%s-lb%02d", z, i+1))
 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -22,24 +22,24 @@
 	storePrefix     = "/v1/kv/"
 	writesPerSecond = 400
 	readsPerSecond  = 2000
-	defaultWait     = 30 * time.Second
+	defaultWait     = 30 * time.Second // limit of a blocking read that names none
 )
 
-// Store is a stand-in for the platform's key-value service. Its outages,
-// slowness and lost answers can be switched.
+// Store emulates the platform's key-value service. Outages, delays and lost
+// responses can be injected.
 type Store struct {
-	mu       sync.Mutex
-	entries  map[string]carawaycart.StoreEntry
-	index    carawaycart.StoreIndex
-	changed  chan struct{} // closed and replaced at each write
-	down     bool
-	delay    time.Duration
-	loseNext int // writes that take effect but whose answers are lost
-
-	calls    int64
-	second   int64
-	inSecond int64
-	peak     int64
+	mu          sync.Mutex
+	entries     map[string]carawaycart.StoreEntry
+	index       carawaycart.StoreIndex
+	changed     chan struct{} // closed and replaced on every write or change of down
+	down        bool
+	delay       time.Duration
+	dropAnswers int // number of coming writes that are applied without a response
+
+	calls         int64
+	currentSecond int64
+	callsInSecond int64
+	peakPerSecond int64
 
 	writes *rate.Limiter
 	reads  *rate.Limiter
@@ -47,8 +47,8 @@
 	url    string
 }
 
-// NewStore returns a running store that listens on a free port of address, an
-// IP number.
+// NewStore starts an empty store that listens on address, a host:port whose port
+// may be 0.
 func NewStore(address string) (*Store, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -69,55 +69,59 @@
 	return s, nil
 }
 
-// URL returns the address of the store.
+// URL returns the base URL of the store.
 func (s *Store) URL() string { return s.url }
 
-// Close stops the store.
+// Close stops the HTTP server of the store.
 func (s *Store) Close() { _ = s.server.Close() }
 
-// SetDown starts or ends an outage; waiting calls fail when one starts.
+// SetDown starts or ends an outage. Blocking reads fail when an outage starts.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	s.wakeLocked()
+	s.notifyLocked()
 }
 
-// SetDelay makes every call take at least d.
+// SetDelay delays every call by d.
 func (s *Store) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// LoseAnswers loses the answers to the next n writes, which take effect.
-func (s *Store) LoseAnswers(n int) {
+// DropAnswers applies the next n writes but aborts their connections before a
+// response is sent.
+func (s *Store) DropAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseNext = n
+	s.dropAnswers = n
 }
 
-// Calls returns the number of calls and the most in one second.
-func (s *Store) Calls() (total, peak int64) {
+// Calls returns the total number of calls and the highest number in a calendar
+// second.
+func (s *Store) Calls() (total, peakPerSecond int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls, max(s.peak, s.inSecond)
+	return s.calls, max(s.peakPerSecond, s.callsInSecond)
 }
 
-func (s *Store) wakeLocked() {
+// notifyLocked wakes up all blocking reads. The caller holds s.mu.
+func (s *Store) notifyLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// enter counts a call, delays it, and reports whether it may go on.
-func (s *Store) enter(w http.ResponseWriter, limiter *rate.Limiter) bool {
+// admit counts and delays a call and reports whether to serve it. It writes an
+// error response during an outage or above the rate limit.
+func (s *Store) admit(w http.ResponseWriter, limiter *rate.Limiter) bool {
 	s.mu.Lock()
 	s.calls++
-	if now := time.Now().Unix(); now != s.second {
-		s.peak = max(s.peak, s.inSecond)
-		s.second, s.inSecond = now, 0
+	if now := time.Now().Unix(); now != s.currentSecond {
+		s.peakPerSecond = max(s.peakPerSecond, s.callsInSecond)
+		s.currentSecond, s.callsInSecond = now, 0
 	}
-	s.inSecond++
+	s.callsInSecond++
 	down, delay := s.down, s.delay
 	s.mu.Unlock()
 	time.Sleep(delay)
@@ -133,7 +137,7 @@
 }
 
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
-	if !s.enter(w, s.reads) {
+	if !s.admit(w, s.reads) {
 		return
 	}
 	key := strings.TrimPrefix(r.URL.Path, storePrefix)
@@ -147,7 +151,7 @@
 			http.Error(w, "index", http.StatusBadRequest)
 			return
 		}
-		if !s.wait(r, key, carawaycart.StoreIndex(index)) {
+		if !s.awaitChange(r, key, carawaycart.StoreIndex(index)) {
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
@@ -162,9 +166,9 @@
 	writeJSON(w, e)
 }
 
-// wait waits until key's index exceeds index and reports whether the store
-// stayed up.
-func (s *Store) wait(r *http.Request, key string, index carawaycart.StoreIndex) bool {
+// awaitChange blocks until the index of key exceeds index, the wait limit of r
+// passes or r is cancelled. It returns false if the store is down.
+func (s *Store) awaitChange(r *http.Request, key string, index carawaycart.StoreIndex) bool {
 	limit, err := time.ParseDuration(r.FormValue("wait"))
 	if err != nil {
 		limit = defaultWait
@@ -191,6 +195,7 @@
 	}
 }
 
+// list writes all entries whose keys start with prefix, sorted by key.
 func (s *Store) list(w http.ResponseWriter, prefix string) {
 	s.mu.Lock()
 	found := []carawaycart.StoreEntry{}
@@ -205,7 +210,7 @@
 }
 
 func (s *Store) put(w http.ResponseWriter, r *http.Request) {
-	if !s.enter(w, s.writes) {
+	if !s.admit(w, s.writes) {
 		return
 	}
 	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, platform.MaxValue))
@@ -218,14 +223,17 @@
 		http.Error(w, "cas", http.StatusBadRequest)
 		return
 	}
-	swapped, lost := s.swap(strings.TrimPrefix(r.URL.Path, storePrefix), value, carawaycart.StoreIndex(index))
+	swapped, lost := s.compareAndSwap(strings.TrimPrefix(r.URL.Path, storePrefix), value, carawaycart.StoreIndex(index))
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, swapped)
 }
 
-func (s *Store) swap(key string, value []byte, index carawaycart.StoreIndex) (swapped, lost bool) {
+// compareAndSwap stores value under key if the entry's current index equals
+// index; an absent entry has index 0. It reports whether it stored the value and
+// whether the response is to be dropped.
+func (s *Store) compareAndSwap(key string, value []byte, index carawaycart.StoreIndex) (swapped, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.entries[key].Index != index {
@@ -233,9 +241,9 @@
 	}
 	s.index++
 	s.entries[key] = carawaycart.StoreEntry{Key: key, Value: value, Index: s.index}
-	s.wakeLocked()
-	if s.loseNext > 0 {
-		s.loseNext--
+	s.notifyLocked()
+	if s.dropAnswers > 0 {
+		s.dropAnswers--
 		return true, true
 	}
 	return true, false
