--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,11 +1,13 @@
-// Package soak runs real instances as processes and breaks things around them.
+// Package soak runs real instances as processes and injects faults into their
+// environment.
 //
-// A seeded series of faults overlaps: signals to processes, a store that
-// misbehaves, proxies on loopback that delay, reset, silence or cut one way what
-// passes, hosts that go dark, drain and come back. Meanwhile callers keep using
-// their flows, and the ledger of the platform's stand-in tells from what hosts
-// ran and callers were told whether a promise was broken.
+// Each run injects a seeded series of overlapping faults: signals to processes,
+// errors of the store, proxies on loopback that delay, reset or drop traffic in
+// one or both directions, and endpoints that become silent, drain and recover.
+// Emulated callers use their flows throughout. The ledger of the emulated platform
+// compares the requests that endpoints executed with the answers that callers
+// received, and reports violated guarantees.
 //
-//	go test ./soak                                  # a short run and the regression seeds
-//	go test ./soak -run Long -seed 7 -runs 50 -faults 60   # by hand
+//	go test ./soak                                         # a short run and the regression seeds
+//	go test ./soak -run Long -seed 7 -runs 50 -faults 60   # long runs, started by hand
 package soak
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -7,22 +7,24 @@
 	"time"
 )
 
-// mode is what a proxy does to what passes.
+// mode determines how a proxy treats traffic.
 type mode int
 
 const (
-	modePass mode = iota
+	modeForward mode = iota
 	modeDelay
-	modeReset  // connections break; datagrams are lost
-	modeOneWay // nothing reaches the target
-	modeBack   // nothing comes back from the target
-	modeSilent // nothing passes
+	modeReset        // connections are reset, datagrams dropped
+	modeDropRequests // traffic to the target is dropped
+	modeDropReplies  // traffic from the target is dropped
+	modeDropAll      // traffic in both directions is dropped
 	modeCount
 )
 
+// proxyDelay is the delay of each read or datagram in modeDelay.
 const proxyDelay = 120 * time.Millisecond
 
-// proxy passes TCP, and UDP in one direction, on to a target.
+// proxy forwards TCP connections to a target, and UDP datagrams in the direction
+// of the target only.
 type proxy struct {
 	listener net.Listener
 	conn     *net.UDPConn
@@ -34,7 +36,7 @@
 	conns map[net.Conn]bool
 }
 
-// newProxy passes what comes to listen on to target.
+// newProxy starts a proxy that forwards traffic from listen to target.
 func newProxy(listen, target netip.AddrPort) (*proxy, error) {
 	p := &proxy{target: target.String(), conns: make(map[net.Conn]bool)}
 	var err error
@@ -45,18 +47,19 @@
 		return nil, err
 	}
 	p.done.Go(p.accept)
-	p.done.Go(func() { p.relay(net.UDPAddrFromAddrPort(target)) })
+	p.done.Go(func() { p.relayDatagrams(net.UDPAddrFromAddrPort(target)) })
 	return p, nil
 }
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
 	_ = p.conn.Close()
-	p.set(modeReset)
+	p.setMode(modeReset)
 	p.done.Wait()
 }
 
-func (p *proxy) set(m mode) {
+// setMode changes the mode. modeReset also resets all open connections.
+func (p *proxy) setMode(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
@@ -70,13 +73,14 @@
 	}
 }
 
-func (p *proxy) now() mode {
+func (p *proxy) currentMode() mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
-func (p *proxy) keep(c net.Conn, kept bool) {
+// track adds c to the open connections, or removes it if kept is false.
+func (p *proxy) track(c net.Conn, kept bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if kept {
@@ -86,7 +90,7 @@
 	}
 }
 
-func (p *proxy) relay(target *net.UDPAddr) {
+func (p *proxy) relayDatagrams(target *net.UDPAddr) {
 	buf := make([]byte, 2048)
 	for {
 		n, _, err := p.conn.ReadFromUDPAddrPort(buf)
@@ -94,8 +98,8 @@
 			return
 		}
 		data := append([]byte(nil), buf[:n]...)
-		switch p.now() {
-		case modePass, modeBack:
+		switch p.currentMode() {
+		case modeForward, modeDropReplies:
 			_, _ = p.conn.WriteToUDP(data, target)
 		case modeDelay:
 			time.AfterFunc(proxyDelay, func() { _, _ = p.conn.WriteToUDP(data, target) })
@@ -110,7 +114,7 @@
 		if err != nil {
 			return
 		}
-		if p.now() == modeReset {
+		if p.currentMode() == modeReset {
 			_ = client.(*net.TCPConn).SetLinger(0)
 			_ = client.Close()
 			continue
@@ -120,20 +124,21 @@
 			_ = client.Close()
 			continue
 		}
-		p.keep(client, true)
-		p.keep(server, true)
-		p.done.Go(func() { p.pump(server, client, modeOneWay) })
-		p.done.Go(func() { p.pump(client, server, modeBack) })
+		p.track(client, true)
+		p.track(server, true)
+		p.done.Go(func() { p.copyStream(server, client, modeDropRequests) })
+		p.done.Go(func() { p.copyStream(client, server, modeDropReplies) })
 	}
 }
 
-// pump copies from src to dst; what passes in a mode that cuts this direction is
-// lost.
-func (p *proxy) pump(dst, src net.Conn, cut mode) {
+// copyStream copies data from src to dst until either is closed. It discards the
+// data that it reads in modeDropAll or in the mode cut, which drops traffic in this
+// direction.
+func (p *proxy) copyStream(dst, src net.Conn, cut mode) {
 	defer func() {
 		_ = dst.Close()
 		_ = src.Close()
-		p.keep(src, false)
+		p.track(src, false)
 	}()
 	buf := make([]byte, 32<<10)
 	for {
@@ -141,10 +146,10 @@
 		if err != nil {
 			return
 		}
-		switch m := p.now(); m {
+		switch m := p.currentMode(); m {
 		case modeDelay:
 			time.Sleep(proxyDelay)
-		case modeSilent, cut:
+		case modeDropAll, cut:
 			continue
 		}
 		if _, err := dst.Write(buf[:n]); err != nil {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,27 +19,28 @@
 )
 
 var (
-	seed   = flag.Uint64("seed", 0, "first `seed` of TestLong; zero takes the time")
-	runs   = flag.Int("runs", 0, "runs of TestLong, each with the next seed")
-	faults = flag.Int("faults", 40, "faults in a run of TestLong")
+	seed   = flag.Uint64("seed", 0, "first `seed` of TestLong; zero uses the current time")
+	runs   = flag.Int("runs", 0, "number of runs of TestLong, with consecutive seeds")
+	faults = flag.Int("faults", 40, "number of faults in a run of TestLong")
 )
 
-// regressions are seeds that have failed, each with its cause.
+// regressions lists the seeds of runs that have failed, each with the cause of the
+// failure.
 var regressions = []struct {
 	seed   uint64
 	faults int
 	cause  string
 }{
-	{1, 12, "none yet: the short run of CI"},
+	{1, 12, "no failure; the short run of CI"},
 }
 
 const (
-	zonesCount = 2
-	hostsAZone = 4
-	perZone    = 2
-	feeds      = 4
-	orders     = 15
-	settle     = 60 // requests that must all be answered once the faults are over
+	zoneCount         = 2
+	endpointsPerZone  = 4
+	instancesPerZone  = 2
+	feedsPerZone      = 4
+	requestsPerSecond = 15
+	finalRequests     = 60 // requests that must all be answered after the last fault
 )
 
 var (
@@ -48,8 +49,8 @@
 	buildErr  error
 )
 
-// build builds the program once for all runs.
-func build(t *testing.T) string {
+// buildBinary builds the program on the first call and returns its path.
+func buildBinary(t *testing.T) string {
 	t.Helper()
 	buildOnce.Do(func() {
 		var dir string
@@ -76,7 +77,7 @@
 	os.Exit(code)
 }
 
-// process is one instance.
+// process is the operating system process of an instance.
 type process struct {
 	machine  standin.Machine
 	settings string
@@ -86,25 +87,27 @@
 	ended    chan struct{}
 }
 
-// run is one series of faults.
+// run is the state of one run with a series of faults.
 type run struct {
 	*standin.Site
-	t         *testing.T
-	random    *rand.Rand
-	binary    string
-	processes []*process
-	fronts    []*proxy // before the hosts
-	wait      sync.WaitGroup
-	mu        sync.Mutex // guards processes' commands
-	events    []string
+	t               *testing.T
+	random          *rand.Rand
+	binary          string
+	processes       []*process
+	endpointProxies []*proxy // by index in Hosts
+	exits           sync.WaitGroup
+	mu              sync.Mutex // guards command and ended of all processes
+	events          []string
 }
 
+// newRun starts a platform and its instances and waits until all instances are in
+// rotation.
 func newRun(t *testing.T, seed uint64) *run {
 	t.Helper()
-	r := &run{t: t, random: rand.New(rand.NewPCG(seed, 0)), binary: build(t)}
-	site, err := standin.NewSiteBehind(zonesCount, hostsAZone, func(listen, target netip.AddrPort) error {
+	r := &run{t: t, random: rand.New(rand.NewPCG(seed, 0)), binary: buildBinary(t)}
+	site, err := standin.NewSiteBehind(zoneCount, endpointsPerZone, func(listen, target netip.AddrPort) error {
 		p, err := newProxy(listen, target)
-		r.fronts = append(r.fronts, p)
+		r.endpointProxies = append(r.endpointProxies, p)
 		return err
 	})
 	if err != nil {
@@ -113,15 +116,17 @@
 	r.Site = site
 	t.Cleanup(r.close)
 	for _, zone := range site.Zones {
-		for n := range perZone {
-			r.add(zone, n)
+		for n := range instancesPerZone {
+			r.addInstance(zone, n)
 		}
 	}
 	r.await("all instances are in rotation", func() bool { return site.Routers.Ready() == len(r.processes) })
 	return r
 }
 
-func (r *run) add(zone string, n int) {
+// addInstance starts instance n of a zone behind a proxy to its store, which
+// listens on the port after the store's.
+func (r *run) addInstance(zone string, n int) {
 	m, err := r.AddMachine(zone, n)
 	if err != nil {
 		r.t.Fatal(err)
@@ -136,10 +141,12 @@
 		r.t.Fatal(err)
 	}
 	r.processes = append(r.processes, p)
-	r.start(p)
+	r.startProcess(p)
 }
 
-func (r *run) start(p *process) {
+// startProcess starts the process of an instance. A failure is recorded in the
+// ledger.
+func (r *run) startProcess(p *process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p.command = exec.Command(r.binary, "balancer", "-config", p.settings)
@@ -151,8 +158,8 @@
 	ended := make(chan struct{})
 	p.ended = ended
 	command := p.command
-	r.wait.Go(func() {
-		_ = command.Wait() // how it ended shows in the output
+	r.exits.Go(func() {
+		_ = command.Wait() // the output shows the cause of the exit
 		close(ended)
 	})
 }
@@ -160,10 +167,11 @@
 func (r *run) signal(p *process, s syscall.Signal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_ = p.command.Process.Signal(s) // it may have ended by another fault
+	_ = p.command.Process.Signal(s) // another fault may have ended the process
 }
 
-// restart ends a process by a signal and starts it again after a pause.
+// restart sends a signal that ends the process, waits for its exit and starts it
+// again after pause.
 func (r *run) restart(p *process, s syscall.Signal, pause time.Duration) {
 	r.mu.Lock()
 	ended := p.ended
@@ -171,20 +179,22 @@
 	r.signal(p, s)
 	<-ended
 	time.Sleep(pause)
-	r.start(p)
+	r.startProcess(p)
 }
 
+// close ends the run. If the test has failed, it logs the series of faults and the
+// end of each process's output.
 func (r *run) close() {
 	r.EndLoad()
 	for _, p := range r.processes {
 		r.signal(p, syscall.SIGCONT)
 		r.signal(p, syscall.SIGKILL)
 	}
-	r.wait.Wait()
+	r.exits.Wait()
 	for _, p := range r.processes {
 		p.store.close()
 	}
-	for _, p := range r.fronts {
+	for _, p := range r.endpointProxies {
 		p.close()
 	}
 	r.Close()
@@ -196,28 +206,33 @@
 	}
 }
 
+// tail returns the last 2000 bytes of s.
 func tail(s string) string {
 	const keep = 2000
 	return s[max(len(s)-keep, 0):]
 }
 
-// await waits until condition holds; the bound only ends a run that has failed.
+// await waits until condition holds. The time limit only ends a run that has
+// already failed.
 func (r *run) await(what string, condition func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(40 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("got no end of waiting until %s; %s", what, r.Ledger.Summary())
+			r.t.Fatalf("timed out waiting until %s; %s", what, r.Ledger.Summary())
 		}
 	}
 }
 
-// fault is one thing that goes wrong, for a time.
+// fault is a kind of fault. inject applies it to p or h, for about span, and
+// returns when it is over.
 type fault struct {
-	name string
-	do   func(r *run, p *process, h *standin.Host, span time.Duration)
+	name   string
+	inject func(r *run, p *process, h *standin.Host, span time.Duration)
 }
 
-var all = []fault{
+// allFaults lists the kinds of faults. A seed selects faults by index, so that a
+// change of the order changes the series of every seed.
+var allFaults = []fault{
 	{"kill", func(r *run, p *process, _ *standin.Host, span time.Duration) { r.restart(p, syscall.SIGKILL, span/4) }},
 	{"stop", func(r *run, p *process, _ *standin.Host, span time.Duration) { r.restart(p, syscall.SIGTERM, span/4) }},
 	{"freeze", func(r *run, p *process, _ *standin.Host, span time.Duration) {
@@ -227,40 +242,40 @@
 	}},
 	{"reload", func(r *run, p *process, _ *standin.Host, _ time.Duration) { r.signal(p, syscall.SIGHUP) }},
 	{"store", func(r *run, _ *process, _ *standin.Host, span time.Duration) {
-		r.Store.SetFault("", standin.Fault(1+r.pick(int(standin.FaultLost))))
+		r.Store.SetFault("", standin.Fault(1+r.randomInt(int(standin.FaultLost))))
 		time.Sleep(span)
 		r.Store.SetFault("", standin.FaultNone)
 	}},
-	{"store for one", func(r *run, p *process, _ *standin.Host, span time.Duration) {
-		r.Store.SetFault(p.machine.Store, standin.Fault(1+r.pick(int(standin.FaultLost))))
+	{"store for one instance", func(r *run, p *process, _ *standin.Host, span time.Duration) {
+		r.Store.SetFault(p.machine.Store, standin.Fault(1+r.randomInt(int(standin.FaultLost))))
 		time.Sleep(span)
 		r.Store.SetFault(p.machine.Store, standin.FaultNone)
 	}},
 	{"path to the store", func(r *run, p *process, _ *standin.Host, span time.Duration) {
-		p.store.set(mode(1 + r.pick(int(modeCount)-1)))
+		p.store.setMode(mode(1 + r.randomInt(int(modeCount)-1)))
 		time.Sleep(span)
-		p.store.set(modePass)
+		p.store.setMode(modeForward)
 	}},
-	{"path to a host", func(r *run, _ *process, h *standin.Host, span time.Duration) {
+	{"path to an endpoint", func(r *run, _ *process, h *standin.Host, span time.Duration) {
 		for i := range r.Hosts {
 			if r.Hosts[i] == h {
-				r.fronts[i].set(mode(1 + r.pick(int(modeCount)-1)))
+				r.endpointProxies[i].setMode(mode(1 + r.randomInt(int(modeCount)-1)))
 				time.Sleep(span)
-				r.fronts[i].set(modePass)
+				r.endpointProxies[i].setMode(modeForward)
 			}
 		}
 	}},
-	{"host dark", func(_ *run, _ *process, h *standin.Host, span time.Duration) {
+	{"endpoint silent, flows lost", func(_ *run, _ *process, h *standin.Host, span time.Duration) {
 		h.Set(standin.Dark)
 		time.Sleep(span)
 		h.Set(standin.Well)
 	}},
-	{"host cut", func(_ *run, _ *process, h *standin.Host, span time.Duration) {
+	{"endpoint silent, flows kept", func(_ *run, _ *process, h *standin.Host, span time.Duration) {
 		h.Set(standin.Cut)
 		time.Sleep(span)
 		h.Set(standin.Well)
 	}},
-	{"host drains", func(r *run, _ *process, h *standin.Host, span time.Duration) {
+	{"endpoint drains", func(r *run, _ *process, h *standin.Host, span time.Duration) {
 		r.Drain(h)
 		time.Sleep(standin.DrainBound + span)
 		h.Forbid(time.Time{})
@@ -278,32 +293,36 @@
 	}},
 }
 
-// planned are faults that leave bounds of time in force.
-var planned = map[string]bool{"stop": true, "reload": true, "host drains": true, "zone out": true, "configuration": true}
+// plannedFaults names the faults during which the time bounds of guarantees remain
+// in force.
+var plannedFaults = map[string]bool{"stop": true, "reload": true, "endpoint drains": true, "zone out": true, "configuration": true}
 
-// pick draws a number for a fault that is under way.
-func (r *run) pick(n int) int { return rand.IntN(n) }
+// randomInt returns a random number in [0, n) for a fault in progress. Faults run
+// concurrently and cannot use r.random, which is not safe for concurrent use.
+func (r *run) randomInt(n int) int { return rand.IntN(n) }
 
-// series plays n faults that overlap, then lets everything settle.
-func (r *run) series(n int) {
-	var going sync.WaitGroup
-	busy := make(map[any]bool)
+// injectFaults draws n faults, which overlap, and waits until all are over. It
+// skips a fault whose process or endpoint is subject to another fault. Faults of
+// the whole store or of a zone exclude only faults of the same kind.
+func (r *run) injectFaults(n int) {
+	var active sync.WaitGroup
+	inUse := make(map[any]bool)
 	var mu sync.Mutex
-	claim := func(keys ...any) bool {
+	reserve := func(keys ...any) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, k := range keys {
-			if busy[k] {
+			if inUse[k] {
 				return false
 			}
 		}
 		for _, k := range keys {
-			busy[k] = true
+			inUse[k] = true
 		}
 		return true
 	}
 	for range n {
-		f := all[r.random.IntN(len(all))]
+		f := allFaults[r.random.IntN(len(allFaults))]
 		p := r.processes[r.random.IntN(len(r.processes))]
 		h := r.Hosts[r.random.IntN(len(r.Hosts))]
 		span := time.Duration(200+r.random.IntN(3800)) * time.Millisecond
@@ -313,29 +332,29 @@
 			keys = []any{f.name}
 		}
 		time.Sleep(pause)
-		if !claim(keys...) {
+		if !reserve(keys...) {
 			continue
 		}
 		r.events = append(r.events, fmt.Sprintf("%s %s: %s %s for %v", time.Now().Format("15:04:05.000"), f.name, p.machine.Name, h.ID, span))
-		going.Go(func() {
+		active.Go(func() {
 			stop := make(chan struct{})
-			if !planned[f.name] {
-				go r.disturbUntil(stop)
+			if !plannedFaults[f.name] {
+				go r.suspendBoundsUntil(stop)
 			}
-			f.do(r, p, h, span)
+			f.inject(r, p, h, span)
 			close(stop)
 			mu.Lock()
 			defer mu.Unlock()
 			for _, k := range keys {
-				delete(busy, k)
+				delete(inUse, k)
 			}
 		})
 	}
-	going.Wait()
+	active.Wait()
 }
 
-// disturbUntil suspends bounds of time while a fault goes on.
-func (r *run) disturbUntil(stop <-chan struct{}) {
+// suspendBoundsUntil suspends the time bounds of guarantees until stop is closed.
+func (r *run) suspendBoundsUntil(stop <-chan struct{}) {
 	for {
 		r.Disturb()
 		select {
@@ -347,15 +366,17 @@
 	}
 }
 
-// check ends a run: all must be served again, and no promise be broken.
-func (r *run) check() {
+// checkRecovery ends a run. It fails the test unless all instances return to
+// rotation, the next finalRequests requests are answered, and no guarantee was
+// violated.
+func (r *run) checkRecovery() {
 	r.t.Helper()
 	r.await("all instances are back in rotation", func() bool { return r.Routers.Ready() == len(r.processes) })
-	r.await("bounds of time hold again", r.Calm)
-	before, unanswered := r.Ledger.Total(), r.Ledger.Total()-r.Ledger.Answered
-	r.await("requests are served again", func() bool { return r.Ledger.Total() >= before+settle })
+	r.await("time bounds are in force again", r.Calm)
+	total, unanswered := r.Ledger.Total(), r.Ledger.Total()-r.Ledger.Answered
+	r.await("requests are served again", func() bool { return r.Ledger.Total() >= total+finalRequests })
 	if now := r.Ledger.Total() - r.Ledger.Answered; now > unanswered {
-		r.t.Errorf("got %d of the last requests not answered, want none", now-unanswered)
+		r.t.Errorf("got %d unanswered requests after the last fault, want none", now-unanswered)
 	}
 	r.EndLoad()
 	for _, b := range r.Ledger.Broken() {
@@ -364,23 +385,26 @@
 	r.t.Log(r.Ledger.Summary())
 }
 
-func soak(t *testing.T, seed uint64, faults int) {
+// runSoak performs one run with the given seed and number of faults.
+func runSoak(t *testing.T, seed uint64, faults int) {
 	r := newRun(t, seed)
-	r.BeginLoad(feeds, orders)
-	r.series(faults)
-	r.check()
+	r.BeginLoad(feedsPerZone, requestsPerSecond)
+	r.injectFaults(faults)
+	r.checkRecovery()
 }
 
+// TestRegressions repeats the runs whose seeds have failed.
 func TestRegressions(t *testing.T) {
 	for _, c := range regressions {
 		t.Run(fmt.Sprint(c.seed), func(t *testing.T) {
 			t.Log(c.cause)
-			soak(t, c.seed, c.faults)
+			runSoak(t, c.seed, c.faults)
 		})
 	}
 }
 
-// TestLong plays fresh seeds by hand.
+// TestLong performs as many runs as the flag -runs says, by default none, with
+// consecutive seeds. It is started by hand.
 func TestLong(t *testing.T) {
 	first := *seed
 	if first == 0 {
@@ -390,21 +414,23 @@
 		s := first + uint64(i)
 		t.Run(fmt.Sprint(s), func(t *testing.T) {
 			t.Parallel()
-			soak(t, s, *faults)
+			runSoak(t, s, *faults)
 		})
 	}
 }
 
-// TestStaleViewIsSeen breaks a promise on purpose: the store shows what was, so
-// that instances go on giving flows to hosts that leave.
-func TestStaleViewIsSeen(t *testing.T) {
+// TestStaleStoreViolationIsDetected guards against a harness that misses violated
+// guarantees. A store that serves stale reads makes instances assign new flows to
+// draining endpoints, which the ledger must report.
+func TestStaleStoreViolationIsDetected(t *testing.T) {
 	r := newRun(t, 1)
-	r.BeginLoad(feeds, orders)
+	r.BeginLoad(feedsPerZone, requestsPerSecond)
 	r.Store.SetFault("", standin.FaultStale)
-	// One host alone may get no flow at all, if it holds a feed and others are idle.
+	// Drain all endpoints: a single one may receive no new flow if it holds a feed
+	// and the others are idle.
 	for _, h := range r.Hosts {
 		r.Drain(h)
 	}
-	r.await("the broken promise shows", func() bool { return len(r.Ledger.Broken()) > 0 })
+	r.await("the ledger reports a violated guarantee", func() bool { return len(r.Ledger.Broken()) > 0 })
 	r.t.Log(r.Ledger.Broken()[0])
 }
