--- a/io/fabric/bench_test.go
+++ b/io/fabric/bench_test.go
@@ -18,8 +18,8 @@
 	benchBatchSize    = 32
 	benchBufferBytes  = 2048
 	socketBufferBytes = 8 << 20
-	maxInFlight       = 256 // datagrams in flight, few enough that none is dropped
-	lossTimeout       = time.Second
+	maxInFlight       = 256         // datagrams in flight, few enough that none is dropped
+	lossTimeout       = time.Second // time without an arrival after which the benchmark fails
 )
 
 // staticHandler is a Handler that forwards every packet to one address.
@@ -99,10 +99,10 @@
 	b.ReportMetric(float64(received)/b.Elapsed().Seconds(), "packets/s")
 }
 
-// BenchmarkForward compares a Port with a batched relay that does not decode
-// datagrams.
+// BenchmarkForward measures the throughput of a Port, and of a batched relay that
+// does not decode datagrams as the upper bound.
 func BenchmarkForward(b *testing.B) {
-	b.Run("bare", func(b *testing.B) {
+	b.Run("undecoded", func(b *testing.B) {
 		relay, sink := listen(b), listen(b)
 		go relayUndecoded(relay, net.UDPAddrFromAddrPort(localAddr(sink)))
 		measureThroughput(b, localAddr(relay), sink)
--- a/io/fabric/decode.go
+++ b/io/fabric/decode.go
@@ -16,16 +16,16 @@
 // The faults of a datagram.
 const (
 	FaultNone      Fault = iota
-	FaultGeneve          // truncated or unsupported Geneve header
-	FaultOption          // unknown critical Geneve option
-	FaultIP              // truncated or malformed IP header
+	FaultGeneve          // truncated or unsupported Geneve header, or an inner protocol other than IP
+	FaultOption          // critical Geneve options, none of which are supported
+	FaultIP              // truncated or malformed IP packet, or a datagram that exceeds the receive buffer
 	FaultFragment        // fragment of an IP packet
 	FaultTransport       // truncated or malformed TCP or UDP header
 	FaultProtocol        // neither TCP nor UDP
 	faultCount
 )
 
-// FaultCount is the number of faults.
+// FaultCount is the number of values of Fault, including FaultNone.
 const FaultCount = int(faultCount)
 
 var faultNames = [FaultCount]string{"none", "geneve", "option", "ip", "fragment", "transport", "protocol"}
@@ -39,18 +39,23 @@
 }
 
 const (
-	geneveHeaderBytes  = 8
-	geneveVersionMask  = 0xc0
-	geneveControlBit   = 0x80
-	geneveCriticalBit  = 0x40
+	// Sizes of the headers without options.
+	geneveHeaderBytes = 8
+	ipv4HeaderBytes   = 20
+	tcpHeaderBytes    = 20
+	udpHeaderBytes    = 8
+
+	geneveVersionMask = 0xc0 // in byte 0 of the Geneve header
+	geneveControlBit  = 0x80 // in byte 1 of the Geneve header
+	geneveCriticalBit = 0x40 // in byte 1 of the Geneve header
+
+	// Parts of the 16-bit field at offset 6 of the IPv4 header.
 	moreFragmentsFlag  = 0x2000
 	fragmentOffsetMask = 0x1fff
-	ipv4HeaderBytes    = 20
-	tcpHeaderBytes     = 20
-	udpHeaderBytes     = 8
 )
 
-// Decoder decodes Geneve datagrams. It is not safe for concurrent use.
+// Decoder decodes Geneve datagrams that hold an IPv4 or IPv6 packet of TCP or UDP.
+// It is not safe for concurrent use.
 type Decoder struct {
 	geneve layers.Geneve
 	ipv4   layers.IPv4
@@ -62,9 +67,8 @@
 // NewDecoder returns a Decoder.
 func NewDecoder() *Decoder { return &Decoder{} }
 
-// Decode decodes a Geneve datagram into p and sets every field except Relayed.
-// It returns FaultNone on success; on any other fault the content of p is
-// undefined.
+// Decode decodes a Geneve datagram and sets Key and Kind of p. It returns FaultNone
+// on success; on any other fault, Key and Kind are undefined.
 func (d *Decoder) Decode(datagram []byte, p *carawaycart.Packet) Fault {
 	if len(datagram) < geneveHeaderBytes || datagram[0]&geneveVersionMask != 0 || datagram[1]&geneveControlBit != 0 {
 		return FaultGeneve
@@ -92,7 +96,7 @@
 	if err := d.ipv4.DecodeFromBytes(data, gopacket.NilDecodeFeedback); err != nil || int(d.ipv4.Length) > len(data) {
 		return FaultIP
 	}
-	if field := uint16(data[6])<<8 | uint16(data[7]); field&(moreFragmentsFlag|fragmentOffsetMask) != 0 {
+	if flagsAndOffset := uint16(data[6])<<8 | uint16(data[7]); flagsAndOffset&(moreFragmentsFlag|fragmentOffsetMask) != 0 {
 		return FaultFragment
 	}
 	src, _ := netip.AddrFromSlice(d.ipv4.SrcIP)
@@ -144,7 +148,7 @@
 }
 
 // Encode returns a Geneve datagram with the given inner IPv4 packet and virtual
-// network identifier. Only simulators and tests use it.
+// network identifier (VNI). Only simulators and tests use it.
 func Encode(inner []byte, network uint32) ([]byte, error) {
 	b := gopacket.NewSerializeBuffer()
 	g := &layers.Geneve{Protocol: layers.EthernetTypeIPv4, VNI: network}
--- a/io/fabric/decode_test.go
+++ b/io/fabric/decode_test.go
@@ -12,6 +12,8 @@
 	"carawaycart/io/fabric"
 )
 
+// tcpPacket returns a Geneve datagram with an IPv4 packet of TCP after modify has
+// set its headers. Without changes, it is a data packet: only ACK is set.
 func tcpPacket(tb testing.TB, modify func(*layers.IPv4, *layers.TCP)) []byte {
 	tb.Helper()
 	ip := &layers.IPv4{
@@ -31,6 +33,8 @@
 	return datagram
 }
 
+// Guards against TCP flags being mapped to the wrong kind: a packet that wrongly
+// opens or ends a flow would misroute the later packets of the flow.
 func TestDecodeKinds(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -58,6 +62,8 @@
 	}
 }
 
+// Each malformed datagram must be rejected with the fault under which metrics count
+// it.
 func TestDecodeFaults(t *testing.T) {
 	valid := func() []byte { return tcpPacket(t, func(*layers.IPv4, *layers.TCP) {}) }
 	withByte := func(offset int, value byte) []byte {
@@ -65,7 +71,7 @@
 		d[offset] = value
 		return d
 	}
-	const ip = 8 // offset of the inner IP header
+	const ip = 8 // offset of the inner IP header, which has 20 bytes
 	for _, test := range []struct {
 		name     string
 		datagram []byte
@@ -85,7 +91,7 @@
 		{"first fragment", withByte(ip+6, 0x20), fabric.FaultFragment},
 		{"later fragment", withByte(ip+7, 0x01), fabric.FaultFragment},
 		{"ICMP", withByte(ip+9, 1), fabric.FaultProtocol},
-		{"truncated TCP", valid()[:ip+20+10], fabric.FaultIP},
+		{"truncated TCP, so the IP total length is beyond the end", valid()[:ip+20+10], fabric.FaultIP},
 		{"TCP header length beyond the end", withByte(ip+20+12, 0xf0), fabric.FaultTransport},
 	} {
 		var p carawaycart.Packet
@@ -95,9 +101,11 @@
 	}
 }
 
+// Guards against panics on malformed input, and against acceptance of a datagram
+// without a service address.
 func FuzzDecode(f *testing.F) {
 	f.Add(tcpPacket(f, func(*layers.IPv4, *layers.TCP) {}))
-	f.Add([]byte{0x01, 0, 0x08, 0, 0, 0, 0, 0, 0, 0, 0, 0})
+	f.Add([]byte{0x01, 0, 0x08, 0, 0, 0, 0, 0, 0, 0, 0, 0}) // one empty option, no inner packet
 	decoder := fabric.NewDecoder()
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		var p carawaycart.Packet
@@ -117,8 +125,9 @@
 	}
 }
 
-// Guards against panics and out-of-range reads on malformed input, and against
-// a decoder that never reports one of the faults.
+// Guards against panics and out-of-range reads on malformed input, against
+// acceptance of a datagram without a service address, and against a decoder that
+// never reports one of the faults.
 func TestDecodeMutatedDatagrams(t *testing.T) {
 	syn := tcpPacket(t, func(_ *layers.IPv4, s *layers.TCP) { s.SYN, s.ACK = true, false })
 	decoder := fabric.NewDecoder()
--- a/io/fabric/port.go
+++ b/io/fabric/port.go
@@ -12,32 +12,34 @@
 )
 
 const (
-	batchSize          = 32   // datagrams per system call
-	maxDatagramBytes   = 9216 // a jumbo frame
-	maxCachedAddresses = 1 << 16
+	batchSize          = 32      // datagrams per system call
+	maxDatagramBytes   = 9216    // receive buffer of a datagram: the size of a jumbo frame
+	maxCachedAddresses = 1 << 16 // destinations cached per thread, after which the cache is cleared
 )
 
 // Handler selects the destinations of packets. Its methods must be safe for
 // concurrent use.
 type Handler interface {
-	// Handle returns the destination of the datagram that holds p, or false to
-	// drop it; Handle counts the cause of a drop.
+	// Handle returns the address to which to forward the datagram that holds p, or
+	// false to drop it. It counts the cause of a drop.
 	Handle(p *carawaycart.Packet) (netip.AddrPort, bool)
 	// Fault counts a datagram that could not be decoded.
 	Fault(f Fault)
 }
 
-// Translator converts received datagrams to datagrams to send. Each forwarding
-// thread has its own.
+// Translator selects the destination of each received datagram and may rewrite the
+// datagram. Each forwarding thread has its own Translator, so it need not be safe
+// for concurrent use.
 type Translator interface {
 	// Headroom returns the number of bytes reserved before each datagram, which
 	// Translate may overwrite.
 	Headroom() int
 	// MaxDatagram returns the size of the receive buffer for a datagram, in bytes.
+	// A longer datagram is truncated to it.
 	MaxDatagram() int
-	// Translate returns the datagram to send and its destination for the datagram
-	// that begins in b after the headroom, or false to send nothing. The result
-	// may alias b.
+	// Translate returns the datagram to send and its destination, or false to send
+	// nothing. The received datagram begins in b after the headroom. The result may
+	// alias b.
 	Translate(b []byte) ([]byte, netip.AddrPort, bool)
 }
 
@@ -77,7 +79,7 @@
 
 // geneveForwarder is a Translator that forwards Geneve datagrams unchanged.
 type geneveForwarder struct {
-	relayed bool
+	relayed bool // whether the datagrams were relayed by a peer
 	handler Handler
 	decoder *Decoder
 }
@@ -90,7 +92,7 @@
 
 // Translate returns b unchanged with the destination that the handler selects.
 func (f *geneveForwarder) Translate(b []byte) ([]byte, netip.AddrPort, bool) {
-	if len(b) >= maxDatagramBytes {
+	if len(b) >= maxDatagramBytes { // possibly truncated
 		f.handler.Fault(FaultIP)
 		return nil, netip.AddrPort{}, false
 	}
@@ -109,11 +111,11 @@
 type forwarder struct {
 	conn       *ipv4.PacketConn
 	translator Translator
-	headroom   int
-	buffers    [][]byte
-	received   []ipv4.Message
-	outgoing   []ipv4.Message
-	addresses  map[netip.AddrPort]*net.UDPAddr
+	headroom   int                             // of translator, in bytes
+	buffers    [][]byte                        // headroom and receive buffer of each element of received
+	received   []ipv4.Message                  // the batch that was read last
+	outgoing   []ipv4.Message                  // datagrams to send for the batch
+	addresses  map[netip.AddrPort]*net.UDPAddr // cache of destinations
 }
 
 func newForwarder(conn *net.UDPConn, t Translator) *forwarder {
@@ -133,6 +135,7 @@
 	return f
 }
 
+// run forwards datagrams until the socket is closed.
 func (f *forwarder) run() {
 	for {
 		n, err := f.conn.ReadBatch(f.received, 0)
@@ -140,17 +143,19 @@
 			return
 		}
 		if err != nil {
-			continue // an ICMP error caused by an earlier send
+			continue // the kernel reports an ICMP error that an earlier send caused
 		}
 		f.outgoing = f.outgoing[:0]
 		for i := range f.received[:n] {
-			f.handle(f.buffers[i][:f.headroom+f.received[i].N])
+			f.enqueue(f.buffers[i][:f.headroom+f.received[i].N])
 		}
 		f.flush()
 	}
 }
 
-func (f *forwarder) handle(b []byte) {
+// enqueue translates the headroom and datagram in b and appends the result to
+// outgoing.
+func (f *forwarder) enqueue(b []byte) {
 	datagram, address, ok := f.translator.Translate(b)
 	if !ok {
 		return
@@ -164,6 +169,7 @@
 	f.outgoing[i].Addr = f.address(address)
 }
 
+// address returns a as a net.UDPAddr, cached to avoid an allocation per datagram.
 func (f *forwarder) address(a netip.AddrPort) *net.UDPAddr {
 	u, ok := f.addresses[a]
 	if !ok {
@@ -176,7 +182,7 @@
 	return u
 }
 
-// flush sends the batch. A datagram that cannot be sent is dropped, since UDP
+// flush sends the outgoing datagrams. One that cannot be sent is dropped, since UDP
 // delivery is best effort.
 func (f *forwarder) flush() {
 	for outgoing := f.outgoing; len(outgoing) > 0; {
