--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -27,9 +27,9 @@
 	return &Client{meter: meter, conns: make(map[netip.AddrPort]*rpc.Client)}
 }
 
-// Call calls method of the peer at address and merges the result into reply. It
-// returns when ctx is done at the latest. The error names the method and the
-// peer.
+// Call calls method of the peer at address and merges the result into reply. If an
+// existing connection fails, Call retries once on a new connection. It returns when
+// ctx is done at the latest. The error names the method and the peer.
 func (c *Client) Call(ctx context.Context, address netip.AddrPort, method string, args, reply proto.Message) error {
 	var err error
 	for range 2 {
@@ -42,16 +42,17 @@
 	return errors.Annotatef(err, "call %s of peer %s", method, address)
 }
 
-// isConnectionFailure reports whether err means that an established connection
-// failed. It returns false for nil, for the end of the context, for an error that
-// the peer returned and for a net.OpError.
+// isConnectionFailure reports whether err means that a call failed because its
+// connection was closed or corrupted. It returns false for nil, for the end of the
+// context, for an error that the peer returned, and for a net.OpError such as a
+// failed dial.
 func isConnectionFailure(err error) bool {
 	if err == nil || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		return false
 	}
-	var remote rpc.ServerError
-	var opError *net.OpError
-	return !errors.As(err, &remote) && !errors.As(err, &opError)
+	var peerErr rpc.ServerError
+	var opErr *net.OpError
+	return !errors.As(err, &peerErr) && !errors.As(err, &opErr)
 }
 
 func (c *Client) call(ctx context.Context, address netip.AddrPort, method string, args, reply proto.Message) error {
@@ -75,6 +76,7 @@
 	}
 }
 
+// conn returns the connection to address and opens one if there is none.
 func (c *Client) conn(ctx context.Context, address netip.AddrPort) (*rpc.Client, error) {
 	c.mu.Lock()
 	conn := c.conns[address]
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -13,8 +13,8 @@
 	"carawaycart/message"
 )
 
-// maxMessageBytes is the maximum size of a received message. A larger one ends
-// the connection.
+// maxMessageBytes is the maximum size of a received header or body. A larger one is
+// not read, after which the connection is unusable.
 const maxMessageBytes = 16 << 20
 
 // maxErrorBytes is the maximum length of the error text in a reply. Longer texts
@@ -23,12 +23,14 @@
 
 // Meter counts the bytes that calls and replies send.
 type Meter interface {
-	// Sent adds bytes to the count of method.
+	// Sent adds bytes to the count of method, which has the form "Peer.Exchange". A
+	// reply counts under the method that it answers.
 	Sent(method string, bytes int)
 }
 
-// codec frames calls and replies on one connection. clientCodec and serverCodec
-// embed it to implement rpc.ClientCodec and rpc.ServerCodec.
+// codec sends and receives calls and replies on one connection, each as a header
+// and a body in length-delimited protobuf encoding. clientCodec and serverCodec
+// embed it.
 type codec struct {
 	conn    io.ReadWriteCloser
 	reader  *bufio.Reader
@@ -48,35 +50,37 @@
 	}
 }
 
+// write sends a header and a body.
 func (c *codec) write(h *message.CallHeader, body any) error {
 	m, ok := body.(proto.Message)
 	if !ok {
-		m = &message.Acknowledgement{}
+		m = &message.Acknowledgement{} // net/rpc passes a placeholder with an error reply
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, err := protodelim.MarshalTo(c.writer, h)
+	headerBytes, err := protodelim.MarshalTo(c.writer, h)
 	if err != nil {
 		return errors.Annotatef(err, "write header of %s", h.GetMethod())
 	}
-	k, err := protodelim.MarshalTo(c.writer, m)
+	bodyBytes, err := protodelim.MarshalTo(c.writer, m)
 	if err != nil {
 		return errors.Annotatef(err, "write body of %s", h.GetMethod())
 	}
-	c.meter.Sent(h.GetMethod(), n+k)
+	c.meter.Sent(h.GetMethod(), headerBytes+bodyBytes)
 	return errors.Annotatef(c.writer.Flush(), "send %s", h.GetMethod())
 }
 
-// readHeader returns io.EOF unwrapped, since net/rpc compares with it to detect a
-// closed connection.
+// readHeader reads a header. It returns io.EOF unwrapped, since net/rpc compares
+// with it to detect a closed connection.
 func (c *codec) readHeader(h *message.CallHeader) error {
 	return c.options.UnmarshalFrom(c.reader, h)
 }
 
+// readBody reads a body into body, or discards it if body is nil.
 func (c *codec) readBody(body any) error {
 	m, ok := body.(proto.Message)
 	if !ok {
-		m = &message.Acknowledgement{} // net/rpc discards the body of a failed call
+		m = &message.Acknowledgement{} // net/rpc passes nil to discard the body of a failed call
 	}
 	return errors.Annotate(c.options.UnmarshalFrom(c.reader, m), "read body")
 }
@@ -84,6 +88,7 @@
 // Close closes the connection.
 func (c *codec) Close() error { return c.conn.Close() }
 
+// clientCodec implements rpc.ClientCodec.
 type clientCodec struct{ codec }
 
 // WriteRequest sends one call.
@@ -104,6 +109,7 @@
 // ReadResponseBody reads the body of the reply whose header was read last.
 func (c *clientCodec) ReadResponseBody(body any) error { return c.readBody(body) }
 
+// serverCodec implements rpc.ServerCodec.
 type serverCodec struct{ codec }
 
 // ReadRequestHeader reads the header of the next call.
@@ -119,7 +125,7 @@
 // ReadRequestBody reads the body of the call whose header was read last.
 func (c *serverCodec) ReadRequestBody(body any) error { return c.readBody(body) }
 
-// WriteResponse sends one reply and truncates its error text to the maximum.
+// WriteResponse sends one reply. It truncates the error text to maxErrorBytes.
 func (c *serverCodec) WriteResponse(r *rpc.Response, body any) error {
 	text := r.Error
 	if len(text) > maxErrorBytes {
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -17,16 +17,16 @@
 type fakeHandler struct {
 	peer.Handler
 	delay time.Duration
-	calls atomic.Int64
+	calls atomic.Int64 // calls of Exchange
 }
 
-func (e *fakeHandler) Exchange(x *message.Exchange) (*message.Exchange, error) {
-	e.calls.Add(1)
-	time.Sleep(e.delay)
+func (h *fakeHandler) Exchange(x *message.Exchange) (*message.Exchange, error) {
+	h.calls.Add(1)
+	time.Sleep(h.delay)
 	return &message.Exchange{From: x.GetFrom() + " heard"}, nil
 }
 
-func (e *fakeHandler) Finish(*message.Claim) error { return errors.New("no such claim") }
+func (h *fakeHandler) Finish(*message.Claim) error { return errors.New("no such claim") }
 
 type discardMeter struct{}
 
@@ -46,6 +46,8 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
+// A call must return the reply of the peer, and a failed one the peer's error with
+// the method and the address.
 func TestCall(t *testing.T) {
 	address := serve(t, &fakeHandler{})
 	client := peer.NewClient(discardMeter{})
@@ -63,8 +65,8 @@
 	}
 }
 
-// A reply that arrives after the deadline must not be written to the reply of
-// that call or of the next one.
+// A call must return at its deadline. A reply that arrives later must not be written
+// to the reply of that call or of the next one.
 func TestCallReturnsAtDeadline(t *testing.T) {
 	address := serve(t, &fakeHandler{delay: 200 * time.Millisecond})
 	client := peer.NewClient(discardMeter{})
@@ -128,6 +130,7 @@
 func TestServerSurvivesMalformedInput(t *testing.T) {
 	handler := &fakeHandler{}
 	address := serve(t, handler)
+	// A length beyond the maximum, a request of another protocol, a truncated header.
 	for _, input := range [][]byte{{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f}, []byte("GET / HTTP/1.1\r\n\r\n"), {3, 1, 2}} {
 		conn, err := net.Dial("tcp", address.String())
 		if err != nil {
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -13,21 +13,22 @@
 // Handler answers the calls of peers. Its methods must be idempotent and safe
 // for concurrent use.
 type Handler interface {
-	// Exchange applies a probe with the updates that it carries, or updates alone,
-	// and returns the updates that the sender lacks.
+	// Exchange merges the updates in the message. It answers a probe with digests
+	// and the state that the probe requests, and other messages with an empty one.
 	Exchange(*message.Exchange) (*message.Exchange, error)
-	// Pull returns the state that a starting instance lacks.
+	// Pull returns the state that a joining or lagging instance requests.
 	Pull(*message.PullRequest) (*message.PullReply, error)
-	// Records merges replicated flow records and ends of flows.
+	// Records merges replicated flow records and ended flows.
 	Records(*message.RecordBatch) error
-	// Begin records the start of an attempt; the receiver is the keeper of its key.
+	// Begin asks the receiver, as keeper of the key, to admit an attempt at a keyed
+	// request.
 	Begin(*message.Claim) (*message.ClaimReply, error)
-	// Finish records the end of an attempt; the receiver is the keeper of its key.
+	// Finish reports the outcome of an attempt to the keeper of its key.
 	Finish(*message.Claim) error
-	// Copy merges replicated claims and returns the claims held that conflict with
-	// them.
+	// Copy merges replicated claims and returns the receiver's claims that conflict
+	// with them.
 	Copy(*message.ClaimBatch) (*message.ClaimCopies, error)
-	// Acquire grants or denies a permit; the receiver is the keeper of the endpoint.
+	// Acquire asks the receiver, as keeper of the endpoint, for a permit.
 	Acquire(*message.AcquireRequest) (*message.AcquireReply, error)
 	// Release returns a permit to the keeper of the endpoint.
 	Release(*message.ReleaseRequest) error
@@ -36,8 +37,9 @@
 // service adapts a Handler to the method signatures of net/rpc.
 type service struct{ handler Handler }
 
-// copyReply copies result to reply with copyFields, since protobuf messages must
-// not be copied by assignment. If err is not nil, it returns err instead.
+// copyReply copies result, which a Handler returned, to reply, which net/rpc
+// allocated. It uses copyFields, since protobuf messages must not be copied by
+// assignment. If err is not nil, it returns err instead.
 func copyReply[M any](reply *M, result *M, err error, copyFields func(dst, src *M)) error {
 	if err != nil {
 		return err
@@ -46,7 +48,8 @@
 	return nil
 }
 
-// Exchange serves Handler.Exchange.
+// Exchange serves Handler.Exchange. It does not copy the fields that only probes
+// have.
 func (s *service) Exchange(args, reply *message.Exchange) error {
 	result, err := s.handler.Exchange(args)
 	return copyReply(reply, result, err, func(d, r *message.Exchange) {
@@ -96,9 +99,11 @@
 	return s.handler.Release(args)
 }
 
-// DirectoryHandler answers the calls of peers that replicate a directory.
+// DirectoryHandler answers the calls of peers that replicate a directory. Its method
+// must be idempotent and safe for concurrent use.
 type DirectoryHandler interface {
-	// Directory returns a snapshot of what the requesting peer lacks.
+	// Directory returns a snapshot with the changes after the revision of the
+	// requesting peer, and registers the peer if the request asks for that.
 	Directory(*message.DirectoryRequest) (*message.DirectoryCopy, error)
 }
 
@@ -122,18 +127,20 @@
 	wg       sync.WaitGroup
 }
 
-// NewServer serves handler on listener until Close and counts the bytes sent
-// with meter.
+// NewServer serves handler on listener until Close and counts the bytes sent with
+// meter.
 func NewServer(listener net.Listener, handler Handler, meter Meter) (*Server, error) {
 	return newServer(listener, &service{handler}, meter)
 }
 
-// NewDirectoryServer serves handler on listener until Close and counts the bytes
-// sent with meter.
+// NewDirectoryServer serves handler, instead of a Handler, on listener until Close
+// and counts the bytes sent with meter.
 func NewDirectoryServer(listener net.Listener, handler DirectoryHandler, meter Meter) (*Server, error) {
 	return newServer(listener, &directoryService{handler}, meter)
 }
 
+// newServer serves methods, whose signatures are those of net/rpc, under the name
+// "Peer".
 func newServer(listener net.Listener, methods any, meter Meter) (*Server, error) {
 	rpcServer := rpc.NewServer()
 	if err := rpcServer.RegisterName("Peer", methods); err != nil {
@@ -176,7 +183,8 @@
 	delete(s.conns, conn)
 }
 
-// Close stops serving, closes all connections and waits for their handlers.
+// Close stops accepting connections, closes the existing ones and waits for running
+// calls.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
