--- a/io/platform/changelog.go
+++ b/io/platform/changelog.go
@@ -18,10 +18,11 @@
 	logPrefix         = "carawaycart/log/"
 	snapshotKey       = "carawaycart/snapshot"
 	snapshotInterval  = 64 // revisions between snapshots
-	maxAppendAttempts = 20 // revisions that an append may lose to other changes before it fails
+	maxAppendAttempts = 20 // revisions that an append tries, each already used by another change, before it fails
 )
 
-// ChangeLog is the log of configuration changes in the platform's store.
+// ChangeLog is the log of configuration changes in the platform's store. It is safe
+// for concurrent use if the store and the clock are.
 type ChangeLog struct {
 	store carawaycart.Store
 	clock carawaycart.Clock
@@ -35,8 +36,8 @@
 
 func logKey(r carawaycart.Revision) string { return fmt.Sprintf("%s%012d", logPrefix, uint64(r)) }
 
-// ConflictError is returned when another operator changed the same object first.
-// Winner is that operator's change.
+// ConflictError is returned for a change to an object that another change, Winner,
+// has changed since the configuration was read.
 type ConflictError struct{ Winner carawaycart.Change }
 
 // Error returns a text that identifies the winning change.
@@ -45,14 +46,14 @@
 		e.Winner.Kind, e.Winner.Name, e.Winner.Operator, e.Winner.Revision, e.Winner.ID)
 }
 
-// Edit is a change requested by an operator.
+// Edit is a change of one configuration object, requested by an operator.
 type Edit struct {
 	Operator carawaycart.OperatorName
-	Kind     carawaycart.ObjectKind
-	Name     string
-	// Update returns the new object given the present one, which is nil if the
-	// object does not exist. A nil result deletes the object.
-	Update func(present json.RawMessage) (json.RawMessage, error)
+	Kind     carawaycart.ObjectKind // of the object
+	Name     string                 // of the object
+	// Update returns the encoded new object given the existing one, which is nil if
+	// the object does not exist. A nil result deletes the object.
+	Update func(existing json.RawMessage) (json.RawMessage, error)
 }
 
 // Latest returns the configuration at the latest revision in the store.
@@ -73,6 +74,8 @@
 	}
 }
 
+// readSnapshot returns the configuration in the snapshot, or an empty one if there
+// is no snapshot.
 func (l *ChangeLog) readSnapshot(ctx context.Context) (*config.Configuration, error) {
 	e, err := l.store.Get(ctx, snapshotKey)
 	if errors.Is(err, errors.NotFound) {
@@ -85,8 +88,8 @@
 	return c, errors.Annotate(err, "read snapshot")
 }
 
-// Next returns the configuration one revision after c. The error is NotFound if
-// c is the latest.
+// Next returns the configuration one revision after c. A change that cannot be
+// applied only advances the revision. The error is NotFound if c is the latest.
 func (l *ChangeLog) Next(ctx context.Context, c *config.Configuration) (*config.Configuration, error) {
 	change, err := l.Change(ctx, c.Revision+1)
 	if err != nil {
@@ -96,7 +99,7 @@
 	return next, nil
 }
 
-// Change returns the entry of revision r. The error is NotFound if there is none.
+// Change returns the change of revision r. The error is NotFound if there is none.
 func (l *ChangeLog) Change(ctx context.Context, r carawaycart.Revision) (carawaycart.Change, error) {
 	e, err := l.store.Get(ctx, logKey(r))
 	if err != nil {
@@ -105,8 +108,8 @@
 	return decodeChange(e, r), nil
 }
 
-// Await waits for the entry of revision r and returns it. The error is NotFound
-// if the store's blocking read times out first.
+// Await waits for the change of revision r and returns it. The error is NotFound if
+// the store's blocking read times out first.
 func (l *ChangeLog) Await(ctx context.Context, r carawaycart.Revision) (carawaycart.Change, error) {
 	e, err := l.store.Wait(ctx, logKey(r), 0)
 	if err != nil {
@@ -115,9 +118,9 @@
 	return decodeChange(e, r), nil
 }
 
-// decodeChange returns the change in e. A corrupt entry becomes a change of an
-// unknown kind, which no configuration applies, so that it occupies its revision
-// without effect.
+// decodeChange returns the change of revision r, whose entry is e. A corrupt entry
+// becomes a change of an unknown kind, which no configuration applies, so that it
+// occupies its revision without effect.
 func decodeChange(e carawaycart.StoreEntry, r carawaycart.Revision) carawaycart.Change {
 	var c carawaycart.Change
 	if err := config.DecodeStrict(e.Value, &c); err != nil || c.Revision != r {
@@ -126,7 +129,7 @@
 	return c
 }
 
-// Changes returns the entries of revision first and later, in order.
+// Changes returns the changes of revision first and later, in order.
 func (l *ChangeLog) Changes(ctx context.Context, first carawaycart.Revision) ([]carawaycart.Change, error) {
 	entries, err := l.store.List(ctx, logPrefix)
 	if err != nil {
@@ -143,10 +146,11 @@
 	return changes, nil
 }
 
-// Append appends edit at the next free revision and returns the accepted change.
-// The error is a *ConflictError if another operator changed the object after
-// the configuration was read. If the store's answer to the write is lost, Append
-// determines the outcome by reading the entry back and comparing change IDs.
+// Append appends the change that edit makes to the latest configuration at the next
+// free revision, and returns that change. The error is a *ConflictError if the
+// object was changed after the configuration was read. If the store's answer to
+// the write is lost, Append determines the outcome by reading the entry back and
+// comparing change IDs.
 func (l *ChangeLog) Append(ctx context.Context, edit Edit) (carawaycart.Change, error) {
 	c, err := l.Latest(ctx)
 	if err != nil {
@@ -197,7 +201,7 @@
 		}
 		c, _ = c.Next(existing)
 	}
-	return carawaycart.Change{}, errors.Errorf("append change: the next revision was taken by another change in %d attempts", maxAppendAttempts)
+	return carawaycart.Change{}, errors.Errorf("append change: the next revision was taken by another change in each of %d attempts", maxAppendAttempts)
 }
 
 // change returns the change that edit makes to c. Its revision is not set.
@@ -216,8 +220,8 @@
 	}, nil
 }
 
-// createEntry creates the entry of change unless its revision exists already, and
-// returns the change that the entry holds afterwards.
+// createEntry creates the entry of change unless the log has an entry of the same
+// revision, and returns the change that the entry holds afterwards.
 func (l *ChangeLog) createEntry(ctx context.Context, change carawaycart.Change) (carawaycart.Change, error) {
 	value, err := json.Marshal(change)
 	if err != nil {
@@ -227,6 +231,7 @@
 	if err == nil && swapped {
 		return change, nil
 	}
+	// Either another change has the revision, or the outcome of the write is unknown.
 	existing, readErr := l.Change(ctx, change.Revision)
 	switch {
 	case readErr == nil:
@@ -240,8 +245,9 @@
 	return carawaycart.Change{}, errors.Annotatef(readErr, "write revision %d", change.Revision)
 }
 
-// writeSnapshot writes a snapshot of c every snapshotInterval revisions. Errors
-// are ignored, since without the snapshot readers only replay more entries.
+// writeSnapshot writes c as the snapshot if its revision is a multiple of
+// snapshotInterval and higher than that of the stored snapshot. Errors are ignored,
+// since without the snapshot readers only replay more entries.
 func (l *ChangeLog) writeSnapshot(ctx context.Context, c *config.Configuration) {
 	if c.Revision%snapshotInterval != 0 {
 		return
@@ -250,7 +256,7 @@
 	if err != nil {
 		return
 	}
-	var index carawaycart.StoreIndex
+	var index carawaycart.StoreIndex // zero creates the snapshot
 	if e, err := l.store.Get(ctx, snapshotKey); err == nil {
 		stored, err := config.Decode(e.Value)
 		if err == nil && stored.Revision >= c.Revision {
--- a/io/platform/changelog_test.go
+++ b/io/platform/changelog_test.go
@@ -22,7 +22,7 @@
 	mu             sync.Mutex
 	entries        map[string]carawaycart.StoreEntry
 	index          carawaycart.StoreIndex
-	down           bool
+	down           bool   // every read by Get and every write returns an error
 	loseNextAnswer bool   // the next write takes effect but returns an error
 	failNextWrite  bool   // the next write has no effect and returns an error
 	beforeWrite    func() // called once before the next write
@@ -60,6 +60,7 @@
 	return found, nil
 }
 
+// Wait does not block.
 func (s *fakeStore) Wait(ctx context.Context, key string, _ carawaycart.StoreIndex) (carawaycart.StoreEntry, error) {
 	return s.Get(ctx, key)
 }
@@ -91,6 +92,7 @@
 
 func (fixedClock) Now() time.Time { return time.Unix(1000, 0) }
 
+// zoneEdit returns an Edit that creates or replaces zone name.
 func zoneEdit(name string, out bool) platform.Edit {
 	return platform.Edit{
 		Operator: "op", Kind: carawaycart.KindZone, Name: name,
@@ -108,7 +110,7 @@
 		name     string
 		prepare  func(*fakeStore)
 		accepted bool
-		entries  int // expected in the log, including the one written before the fault
+		entries  int // wanted in the log, including the one written before the fault
 	}{
 		{"no fault", func(*fakeStore) {}, true, 2},
 		{"answer lost after the write took effect", func(s *fakeStore) { s.loseNextAnswer = true }, true, 2},
--- a/io/platform/doc.go
+++ b/io/platform/doc.go
@@ -1,10 +1,10 @@
-// Package platform implements clients of the platform's services: the key-value
-// store, by long-poll HTTP with JSON, and the list of instances, which may lag
-// behind.
+// Package platform implements HTTP clients of the platform's services: the
+// key-value store, and the list of instances, which may lag behind.
 //
-// The store supports get, list by prefix, compare-and-swap by modify index, and
-// a blocking read that returns once a key's index exceeds a given one. A
-// ChangeLog stores the configuration there: one entry per revision, created
-// only if absent, so that the first of two concurrent operators wins, and a
-// snapshot that limits replay.
+// The store supports get, list by prefix, compare-and-swap by modify index, and a
+// blocking read (long poll) that returns once the modify index of a key exceeds a
+// given one. A ChangeLog stores the configuration there as one entry per revision,
+// and as a snapshot that limits how many entries readers replay. An entry is
+// created only if it is absent, so that of two concurrent changes the first
+// succeeds.
 package platform
--- a/io/platform/rapid_test.go
+++ b/io/platform/rapid_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// A fixed seed makes the property tests reproducible.
+// Fixes the seed of package rapid, so that the property tests are reproducible.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/io/platform/store.go
+++ b/io/platform/store.go
@@ -21,28 +21,29 @@
 	MaxValue = 1 << 20
 
 	maxResponseBytes = 64 << 20
-	maxWait          = 30 * time.Second
-	responseMargin   = 2 * time.Second
+	blockTimeout     = 30 * time.Second // time for which the store may block a read
+	responseMargin   = 2 * time.Second  // time beyond blockTimeout within which a response must begin
 )
 
-// Store is a client of the key-value store. It is safe for concurrent use.
+// Store is a client of the key-value store. It implements carawaycart.Store and is
+// safe for concurrent use.
 type Store struct {
-	base   string
-	client *http.Client
-	onCall func()
+	baseURL string // URL without a path
+	client  *http.Client
+	onCall  func()
 }
 
-// NewStore returns a client of the store at base, a URL without a path. It calls
-// onCall, which may be nil, before each request.
-func NewStore(base string, onCall func()) *Store {
-	return &Store{base: base, client: newClient(), onCall: onCall}
+// NewStore returns a client of the store at baseURL, a URL without a path. The client
+// calls onCall, unless it is nil, before each request.
+func NewStore(baseURL string, onCall func()) *Store {
+	return &Store{baseURL: baseURL, client: newClient(), onCall: onCall}
 }
 
 func newClient() *http.Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
 	transport.MaxIdleConnsPerHost = 4
-	transport.ResponseHeaderTimeout = maxWait + responseMargin
+	transport.ResponseHeaderTimeout = blockTimeout + responseMargin
 	return &http.Client{Transport: transport}
 }
 
@@ -51,13 +52,12 @@
 	return s.getEntry(ctx, key, url.Values{})
 }
 
-// Wait returns the entry at key once its modify index exceeds index. If the store's
-// time limit passes first, it returns the entry as it is, or a NotFound error if
-// there is none.
+// Wait returns the entry at key once its modify index exceeds index. After
+// blockTimeout it returns the unchanged entry, or a NotFound error if there is none.
 func (s *Store) Wait(ctx context.Context, key string, index carawaycart.StoreIndex) (carawaycart.StoreEntry, error) {
 	return s.getEntry(ctx, key, url.Values{
 		"index": {strconv.FormatUint(uint64(index), 10)},
-		"wait":  {maxWait.String()},
+		"wait":  {blockTimeout.String()},
 	})
 }
 
@@ -74,9 +74,10 @@
 	return entries, err
 }
 
-// CompareAndSwap writes value at key if the entry's modify index equals index
-// and reports whether it did. The index of an absent entry is zero. The error is
-// NotValid if value is longer than MaxValue.
+// CompareAndSwap writes value at key if the entry's modify index equals index and
+// reports whether it did. The index of an absent entry is zero. The error is
+// NotValid if value is longer than MaxValue; after any other error, the value may
+// have been written.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, value []byte, index carawaycart.StoreIndex) (bool, error) {
 	if len(value) > MaxValue {
 		return false, errors.NotValidf("value of %d bytes at key %s (limit %d)", len(value), key, MaxValue)
@@ -87,8 +88,9 @@
 	return swapped, err
 }
 
+// call sends a request to the store and decodes its JSON response into result.
 func (s *Store) call(ctx context.Context, method, path string, query url.Values, body []byte, result any) error {
-	target := s.base + path + "?" + query.Encode()
+	target := s.baseURL + path + "?" + query.Encode()
 	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
 		return errors.Annotatef(err, "create request for %s", target)
@@ -98,12 +100,14 @@
 	}
 	response, err := s.client.Do(request)
 	if err != nil {
-		return errors.Annotatef(err, "%s request to store %s", method, s.base)
+		return errors.Annotatef(err, "%s request to store %s", method, s.baseURL)
 	}
 	defer func() { _ = response.Body.Close() }()
-	return errors.Annotatef(decodeResponse(response, result), "%s %s of store %s", method, path, s.base)
+	return errors.Annotatef(decodeResponse(response, result), "%s %s of store %s", method, path, s.baseURL)
 }
 
+// decodeResponse decodes the JSON body of response into result. The error is
+// NotFound for HTTP status 404.
 func decodeResponse(response *http.Response, result any) error {
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
@@ -113,31 +117,32 @@
 	case http.StatusOK:
 		return errors.Annotate(json.Unmarshal(data, result), "decode response")
 	case http.StatusNotFound:
-		return errors.NotFoundf("key")
+		return errors.NotFoundf("HTTP status 404: resource")
 	}
-	return errors.New(fmt.Sprintf("status %d", response.StatusCode))
+	return errors.New(fmt.Sprintf("HTTP status %d", response.StatusCode))
 }
 
-// List is a client of the platform's list of instances.
+// List is a client of the platform's list of instances. It implements
+// carawaycart.InstanceList and is safe for concurrent use.
 type List struct {
-	base   string
-	client *http.Client
+	baseURL string // URL without a path
+	client  *http.Client
 }
 
-// NewList returns a client of the list at base, a URL without a path.
-func NewList(base string) *List { return &List{base: base, client: newClient()} }
+// NewList returns a client of the list of instances at baseURL, a URL without a path.
+func NewList(baseURL string) *List { return &List{baseURL: baseURL, client: newClient()} }
 
-// Instances returns the listed balancer instances.
+// Instances returns the balancer instances in the list, which may lag behind.
 func (l *List) Instances(ctx context.Context) ([]carawaycart.ListedInstance, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, l.base+"/v1/instances", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, l.baseURL+"/v1/instances", nil)
 	if err != nil {
-		return nil, errors.Annotatef(err, "create request for instance list %s", l.base)
+		return nil, errors.Annotatef(err, "create request for instance list %s", l.baseURL)
 	}
 	response, err := l.client.Do(request)
 	if err != nil {
-		return nil, errors.Annotatef(err, "get instance list %s", l.base)
+		return nil, errors.Annotatef(err, "get instance list %s", l.baseURL)
 	}
 	defer func() { _ = response.Body.Close() }()
 	var instances []carawaycart.ListedInstance
-	return instances, errors.Annotatef(decodeResponse(response, &instances), "get instance list %s", l.base)
+	return instances, errors.Annotatef(decodeResponse(response, &instances), "get instance list %s", l.baseURL)
 }
