--- a/io/caller/query.go
+++ b/io/caller/query.go
@@ -14,28 +14,28 @@
 // Headers of requests.
 const (
 	KeyHeader     = "Idempotency-Key"
-	TimeoutHeader = "Request-Timeout-Ms" // time until the caller gives up, in milliseconds
-	RequestHeader = "Request-Id"
+	TimeoutHeader = "Request-Timeout-Ms" // how long the caller waits for the answer, in milliseconds
+	RequestHeader = "Request-Id"         // forwarded to the endpoint, or generated if the caller set none
 )
 
 const (
-	maxKeyBytes       = 255
-	maxTimeoutMillis  = 3_600_000 // one hour
+	maxKeyBytes       = 255       // of an idempotency key
+	maxTimeoutMillis  = 3_600_000 // one hour, for TimeoutHeader
 	maxHeaderBytes    = 64 << 10
 	readHeaderTimeout = 5 * time.Second
-	idleTimeout       = time.Minute // between requests on one connection
+	idleTimeout       = time.Minute // of a connection between requests
 )
 
 // Query holds the parameters of a request that the balancer acts on.
 type Query struct {
 	Service    carawaycart.ServiceID      // host name of the request, in lower case
 	Key        carawaycart.IdempotencyKey // empty if the caller set none
-	Idempotent bool                       // whether the HTTP method is idempotent
+	Idempotent bool                       // whether the HTTP method is idempotent (RFC 9110, section 9.2.2)
 	Deadline   time.Time                  // zero if the caller set none
 }
 
-// ReadQuery parses the parameters of r, which arrived at now. The error is
-// NotValid.
+// ReadQuery parses the parameters of r, which arrived at now. It returns a NotValid
+// error for an unsupported HTTP method, a malformed key and a malformed timeout.
 func ReadQuery(r *http.Request, now time.Time) (Query, error) {
 	q := Query{Service: carawaycart.ServiceID(strings.ToLower(hostName(r.Host)))}
 	switch r.Method {
@@ -65,13 +65,14 @@
 	return q, nil
 }
 
+// hostName returns host without its port.
 func hostName(host string) string {
 	name, _, _ := strings.Cut(host, ":")
 	return name
 }
 
-// singleHeader returns the value of header, or "" if it is absent. A repeated or
-// an empty header is NotValid.
+// singleHeader returns the value of header, or "" if it is absent. The error is
+// NotValid if the header is repeated or empty.
 func singleHeader(r *http.Request, header string) (string, error) {
 	values := r.Header.Values(header)
 	if len(values) > 1 {
@@ -92,16 +93,17 @@
 	return true
 }
 
-// hopByHopHeaders apply to a single connection and are not forwarded.
+// hopByHopHeaders are the headers that apply to a single connection (RFC 9110,
+// section 7.6.1) and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
 // CopyHeaders copies the headers of src to dst, except for the hop-by-hop headers
-// and those listed in the Connection header.
+// and those that the Connection header of src lists.
 func CopyHeaders(dst, src http.Header) {
-	var listed []string
+	var listed []string // in the Connection header
 	for _, v := range src.Values("Connection") {
 		listed = append(listed, strings.Split(v, ",")...)
 	}
--- a/io/caller/query_test.go
+++ b/io/caller/query_test.go
@@ -14,6 +14,8 @@
 
 var arrival = time.Unix(1000, 0)
 
+// A request with a malformed or repeated header or an unsupported method must be
+// rejected, so that it is not forwarded with a wrong key or timeout.
 func TestReadQuery(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -27,10 +29,10 @@
 		{"empty key", "POST", http.Header{"Idempotency-Key": {""}}, false},
 		{"over-long key", "POST", http.Header{"Idempotency-Key": {strings.Repeat("k", 256)}}, false},
 		{"key with a control character", "POST", http.Header{"Idempotency-Key": {"a\x01"}}, false},
-		{"time limit", "POST", http.Header{"Request-Timeout-Ms": {"250"}}, true},
-		{"two time limits", "POST", http.Header{"Request-Timeout-Ms": {"250", "300"}}, false},
-		{"negative time limit", "POST", http.Header{"Request-Timeout-Ms": {"-1"}}, false},
-		{"overflowing time limit", "POST", http.Header{"Request-Timeout-Ms": {"99999999999999999999"}}, false},
+		{"timeout", "POST", http.Header{"Request-Timeout-Ms": {"250"}}, true},
+		{"two timeouts", "POST", http.Header{"Request-Timeout-Ms": {"250", "300"}}, false},
+		{"negative timeout", "POST", http.Header{"Request-Timeout-Ms": {"-1"}}, false},
+		{"overflowing timeout", "POST", http.Header{"Request-Timeout-Ms": {"99999999999999999999"}}, false},
 		{"unsupported method", "CONNECT", nil, false},
 	} {
 		r := httptest.NewRequest(test.method, "http://desk/order", nil)
@@ -47,15 +49,18 @@
 	}
 }
 
+// The deadline must be the arrival plus the timeout in milliseconds.
 func TestReadQueryDeadline(t *testing.T) {
 	r := httptest.NewRequest("GET", "http://desk/", nil)
 	r.Header.Set(caller.TimeoutHeader, "250")
 	q, err := caller.ReadQuery(r, arrival)
 	if want := arrival.Add(250 * time.Millisecond); err != nil || !q.Deadline.Equal(want) {
-		t.Errorf("got %v, %v; want %v", q.Deadline, err, want)
+		t.Errorf("got deadline %v, error %v; want deadline %v", q.Deadline, err, want)
 	}
 }
 
+// Hop-by-hop headers, including those that the Connection header lists, must not be
+// forwarded.
 func TestCopyHeadersDropsHopByHop(t *testing.T) {
 	src := http.Header{
 		"Connection": {"keep-alive, X-Hop"}, "X-Hop": {"1"}, "Transfer-Encoding": {"chunked"},
@@ -68,6 +73,8 @@
 	}
 }
 
+// Guards against panics, and against an accepted request whose key is empty or whose
+// deadline is not after its arrival.
 func FuzzReadQuery(f *testing.F) {
 	f.Add("POST", "desk:443", "key", "100")
 	f.Fuzz(func(t *testing.T, method, host, key, timeout string) {
@@ -77,7 +84,7 @@
 		r.Header[caller.TimeoutHeader] = []string{timeout}
 		q, err := caller.ReadQuery(r, arrival)
 		if err == nil && (!q.Deadline.After(arrival) || q.Key == "") {
-			t.Errorf("accepted %q %q %q with deadline %v", method, key, timeout, q.Deadline)
+			t.Errorf("accepted method %q, key %q, timeout %q with deadline %v", method, key, timeout, q.Deadline)
 		}
 	})
 }
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -11,7 +11,7 @@
 // Server is an HTTP server for callers.
 type Server struct {
 	http *http.Server
-	done chan struct{}
+	done chan struct{} // closed when http has stopped accepting connections
 }
 
 // NewServer serves handler on listener until Stop or Close.
@@ -32,15 +32,15 @@
 	return s
 }
 
-// Stop stops accepting requests and waits for running ones. When ctx ends first,
-// it closes their connections and returns an error.
+// Stop stops accepting requests and waits until the running ones have ended. If ctx
+// is done first, it closes their connections and returns an error.
 func (s *Server) Stop(ctx context.Context) error {
 	err := s.http.Shutdown(ctx)
 	if err != nil {
 		_ = s.http.Close()
 	}
 	<-s.done
-	return errors.Annotate(err, "stop request server")
+	return errors.Annotate(err, "stop HTTP server for callers")
 }
 
 // Close closes all connections, including those with running requests.
