--- a/io/endpoint/client.go
+++ b/io/endpoint/client.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	maxReportBytes          = 64 << 10
+	maxReportBytes          = 64 << 10 // of a load report; the rest is not read
 	dialTimeout             = time.Second
 	maxIdleConnsPerEndpoint = 8
 )
 
-// NotRunHeader is the response header that an endpoint sets if it did not run the
-// request.
+// NotRunHeader is the response header that an endpoint sets, to any value, if it did
+// not run the request.
 const NotRunHeader = "Not-Run"
 
 // Client calls endpoints over HTTP. It is safe for concurrent use.
 type Client struct{ http *http.Client }
 
-// NewClient returns a Client that does not follow redirects.
+// NewClient returns a Client. It does not follow redirects, and leaves compressed
+// responses as they are.
 func NewClient() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{&http.Client{
@@ -42,11 +43,11 @@
 	}}
 }
 
-// Close closes idle connections.
+// Close closes the idle connections. Running requests continue.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Report returns the load report of the endpoint at address. The error is
-// NotValid if the report cannot be decoded or has a negative count.
+// Report fetches the load report of the endpoint at address. The error is NotValid
+// if the report cannot be decoded or has a negative count.
 func (c *Client) Report(ctx context.Context, address netip.AddrPort) (carawaycart.Report, error) {
 	var report carawaycart.Report
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/load", nil)
@@ -74,19 +75,20 @@
 	return report, nil
 }
 
-// Refused reports whether err means that the connection was refused, so that no
-// byte of a request can have reached the endpoint.
+// Refused reports whether err, an error of Report or Do, means that the endpoint
+// refused the connection, so that no byte of the request can have reached it.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Unreached reports whether err occurred while dialing, so that no byte of a
-// request can have reached the endpoint.
+// Unreached reports whether err, an error of Report or Do, occurred while dialing,
+// so that no byte of the request can have reached the endpoint. Such errors include
+// those for which Refused returns true.
 func Unreached(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// Do sends request to the endpoint at address. It sets scheme and host of the
-// request's URL.
+// Do sends request to the endpoint at address and returns the response, whose body
+// the caller must close. It overwrites the scheme and the host of the request's URL.
 func (c *Client) Do(request *http.Request, address netip.AddrPort) (*http.Response, error) {
 	request.URL.Scheme = "http"
 	request.URL.Host = address.String()
--- a/io/endpoint/doc.go
+++ b/io/endpoint/doc.go
@@ -1,3 +1,3 @@
 // Package endpoint implements the HTTP client for endpoints, which fetches load
-// reports and forwards requests. Package fabric forwards the packets of flows.
+// reports and forwards requests.
 package endpoint
