--- a/io/operator/flow.go
+++ b/io/operator/flow.go
@@ -8,9 +8,9 @@
 	"carawaycart"
 )
 
-// ParseFlow returns the key of the flow from address caller to address service,
-// both as IP:PORT. The protocol is "tcp", "udp" or empty for TCP. The error is
-// NotValid.
+// ParseFlow returns the key of the flow between caller and service, both addresses
+// in the form IP:PORT. The protocol is "tcp", "udp" or empty for TCP. The error is
+// NotValid if an argument is malformed.
 func ParseFlow(protocol, caller, service string) (carawaycart.FlowKey, error) {
 	var k carawaycart.FlowKey
 	switch protocol {
--- a/io/operator/metrics.go
+++ b/io/operator/metrics.go
@@ -12,8 +12,9 @@
 const metricPrefix = "carawaycart_"
 
 // WriteMetrics writes the counters, gauges and histograms of r in the Prometheus
-// text format; a histogram becomes a summary. A counter or gauge named "a.b"
-// becomes metric "a" with the label kind="b".
+// text format, sorted by name and prefixed with metricPrefix. A counter or gauge
+// named "a.b" becomes metric "a" with the label kind="b", a histogram becomes a
+// summary, and metrics of other types are omitted.
 func WriteMetrics(w io.Writer, r metrics.Registry) {
 	types := make(map[string]string)
 	lines := make(map[string][]string)
@@ -52,6 +53,8 @@
 // quantiles are the quantiles written for each histogram.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
+// histogramLines returns the lines of the summary base for h: the quantiles, the
+// count and the sum.
 func histogramLines(base string, h metrics.Histogram) []string {
 	var lines []string
 	for i, v := range h.Percentiles(quantiles) {
--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -13,16 +13,17 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// Status is the status of an instance and its view of the fleet.
+// Status is the status of an instance, and its view of the instances, endpoints and
+// services.
 type Status struct {
 	Instance  carawaycart.InstanceID `json:"instance"`
 	Zone      carawaycart.ZoneID     `json:"zone"`
 	State     string                 `json:"state"`
-	Revision  carawaycart.Revision   `json:"revision"`
+	Revision  carawaycart.Revision   `json:"revision"` // of the configuration or, without one, of the store; zero if none was read
 	Members   []MemberStatus         `json:"members"`
 	Endpoints []EndpointStatus       `json:"endpoints"`
 	Services  []ServiceStatus        `json:"services"`
-	Alarms    []string               `json:"alarms"`
+	Alarms    []string               `json:"alarms"` // conditions that need attention, as texts
 }
 
 // MemberStatus is the status of one instance in the view of the instance queried.
@@ -30,7 +31,7 @@
 	ID       carawaycart.InstanceID `json:"id"`
 	Zone     carawaycart.ZoneID     `json:"zone"`
 	State    string                 `json:"state"`
-	Revision carawaycart.Revision   `json:"revision"`
+	Revision carawaycart.Revision   `json:"revision"` // of the configuration that the instance runs, zero if not known
 }
 
 // EndpointStatus is the status of one endpoint in the view of the instance
@@ -39,32 +40,34 @@
 	ID      carawaycart.EndpointID   `json:"id"`
 	Service carawaycart.ServiceID    `json:"service"`
 	Zone    carawaycart.ZoneID       `json:"zone"`
-	Mark    carawaycart.EndpointMark `json:"mark,omitempty"`
-	State   string                   `json:"state"`
-	Guarded bool                     `json:"guarded"`
-	Keeper  carawaycart.InstanceID   `json:"keeper"`
+	Mark    carawaycart.EndpointMark `json:"mark,omitempty"` // empty if there is none
+	State   string                   `json:"state"`          // name of the state in which the instance queried sees the endpoint
+	Guarded bool                     `json:"guarded"`        // whether packets of its slots must pass through the keeper
+	Keeper  carawaycart.InstanceID   `json:"keeper"`         // the instance that published the status, empty if there is none
 }
 
 // ServiceStatus is the status of one service in the view of the instance queried.
 type ServiceStatus struct {
 	ID         carawaycart.ServiceID   `json:"id"`
 	Profile    carawaycart.ProfileName `json:"profile"`
-	Slots      int                     `json:"slots"`
+	Slots      int                     `json:"slots"`      // size of the slot table
 	DirtySlots int                     `json:"dirtySlots"` // slots whose base and current endpoints differ
 }
 
-// FlowExplanation describes where the packets of a flow are forwarded and why.
+// FlowExplanation describes where the packets of a flow are forwarded and why. An
+// instance whose configuration has no slots leaves the fields Slot, Base, Keeper,
+// Clean and Record empty.
 type FlowExplanation struct {
 	Service   carawaycart.ServiceID  `json:"service"`
-	Slot      carawaycart.SlotIndex  `json:"slot"`
-	Revision  carawaycart.Revision   `json:"revision"`
-	Base      carawaycart.EndpointID `json:"base"`
-	Current   carawaycart.EndpointID `json:"current"`
-	Keeper    carawaycart.InstanceID `json:"keeper"`
-	Clean     bool                   `json:"clean"`             // whether packets are forwarded without asking the keeper
+	Slot      carawaycart.SlotIndex  `json:"slot"`              // of the flow in the service's slot table
+	Revision  carawaycart.Revision   `json:"revision"`          // of the configuration or, without one, of the store
+	Base      carawaycart.EndpointID `json:"base"`              // of the slot
+	Current   carawaycart.EndpointID `json:"current"`           // of the slot or, without slots, the endpoint of the flow
+	Keeper    carawaycart.InstanceID `json:"keeper"`            // of the current endpoint
+	Clean     bool                   `json:"clean"`             // whether all packets of the slot go to its base without the keeper
 	Record    carawaycart.EndpointID `json:"record,omitempty"`  // endpoint in the flow's record, empty if there is none
-	OpenedAt  time.Time              `json:"openedAt,omitzero"` // from the flow's record
-	Rule      string                 `json:"rule"`              // the rule that selects the endpoint, in words
+	OpenedAt  time.Time              `json:"openedAt,omitzero"` // when the flow was opened, zero if not known
+	Rule      string                 `json:"rule"`              // the rule that selects the endpoint, as a text
 	DecidedBy carawaycart.InstanceID `json:"decidedBy"`         // the instance queried
 }
 
@@ -72,18 +75,19 @@
 type KeyExplanation struct {
 	Key      carawaycart.IdempotencyKey `json:"key"`
 	Keeper   carawaycart.InstanceID     `json:"keeper"`
-	Replicas []carawaycart.InstanceID   `json:"replicas"`
-	Held     bool                       `json:"held"` // whether the instance queried holds a claim with this key
-	State    string                     `json:"state,omitempty"`
-	Entry    carawaycart.InstanceID     `json:"entry,omitempty"` // the instance that received the request
+	Replicas []carawaycart.InstanceID   `json:"replicas"`        // instances that store copies of the claim
+	Held     bool                       `json:"held"`            // whether the instance queried has a claim with this key
+	State    string                     `json:"state,omitempty"` // of the claim, empty if Held is false
+	Entry    carawaycart.InstanceID     `json:"entry,omitempty"` // the instance that received the request, empty if Held is false
 }
 
 // Handler answers the queries of operators.
 type Handler interface {
 	// Status returns the status of the instance.
 	Status() Status
-	// ExplainFlow returns where the packets of the flow key are forwarded. The
-	// error is NotFound.
+	// ExplainFlow returns where the packets of the flow with key are forwarded. The
+	// error is NotFound if the instance has no service, route or endpoint for the
+	// flow.
 	ExplainFlow(key carawaycart.FlowKey) (FlowExplanation, error)
 	// ExplainKey returns what the instance knows about the request with key.
 	ExplainKey(key carawaycart.IdempotencyKey) KeyExplanation
@@ -92,7 +96,7 @@
 // Server is the HTTP server for operators.
 type Server struct {
 	http *http.Server
-	done chan struct{}
+	done chan struct{} // closed when http has stopped accepting connections
 }
 
 // NewServer serves the answers of handler and the metrics of registry on listener
@@ -128,6 +132,7 @@
 	return s
 }
 
+// writeJSON writes v as indented JSON.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
