--- a/io/socket/socket.go
+++ b/io/socket/socket.go
@@ -10,24 +10,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen returns a listener for TCP connections at a. Errors contain name, the
-// purpose of the listener.
+// Listen returns a listener for TCP connections at address a. Errors contain name,
+// the purpose of the listener.
 func Listen(a netip.AddrPort, name string) (net.Listener, error) {
 	l, err := net.Listen("tcp", a.String())
 	return l, errors.Annotatef(err, "listen for %s", name)
 }
 
-// ListenUDP returns a UDP socket at a and requests a receive buffer of the given
-// number of bytes, or the kernel's default for zero. Errors contain name, the
-// purpose of the socket.
+// ListenUDP returns a UDP socket bound to address a. It requests a receive buffer of
+// bufferBytes bytes, or leaves the kernel's default if bufferBytes is zero. Errors
+// contain name, the purpose of the socket.
 func ListenUDP(a netip.AddrPort, name string, bufferBytes int) (*net.UDPConn, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		if bufferBytes == 0 {
 			return nil
 		}
 		return raw.Control(func(fd uintptr) {
-			// The kernel may reduce the size without an error, so the size is best
-			// effort and errors are ignored too.
+			// The kernel may silently grant less, so the size is best effort and
+			// errors are ignored too.
 			_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, bufferBytes)
 		})
 	}}
--- a/io/socket/socket_test.go
+++ b/io/socket/socket_test.go
@@ -9,11 +9,11 @@
 	"carawaycart/io/socket"
 )
 
-// Listening on an address in use must return an error with the name of the
-// socket.
+// Listening on an address in use must return an error with the name of the socket,
+// or operators could not tell which of the configured addresses is in use.
 func TestListenErrorContainsName(t *testing.T) {
-	any := netip.MustParseAddrPort("127.0.0.1:0")
-	l, err := socket.Listen(any, "peer")
+	anyPort := netip.MustParseAddrPort("127.0.0.1:0")
+	l, err := socket.Listen(anyPort, "peer")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 		t.Errorf("got error %v, want it to contain \"listen for peer\"", err)
 	}
 	for _, bufferBytes := range []int{0, 1 << 16} {
-		c, err := socket.ListenUDP(any, "fabric", bufferBytes)
+		c, err := socket.ListenUDP(anyPort, "fabric", bufferBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
