--- a/message/convert.go
+++ b/message/convert.go
@@ -17,7 +17,8 @@
 	}
 }
 
-// ToMember returns the member that m describes. The error is NotValid.
+// ToMember returns the member that m describes. The error is NotValid if the ID is
+// empty, the address malformed or the state undefined.
 func ToMember(m *Member) (carawaycart.Member, error) {
 	address, err := netip.ParseAddrPort(m.GetPeerAddress())
 	if err != nil || m.GetId() == "" || m.GetState() > uint32(carawaycart.MemberDead) {
@@ -38,7 +39,8 @@
 	}
 }
 
-// ToStatus returns the status that s describes. The error is NotValid.
+// ToStatus returns the status that s describes. The error is NotValid if the
+// endpoint is empty or the state undefined.
 func ToStatus(s *EndpointStatus) (carawaycart.EndpointStatus, error) {
 	if s.GetEndpoint() == "" || s.GetState() > uint32(carawaycart.EndpointDead) {
 		return carawaycart.EndpointStatus{}, errors.NotValidf("status of endpoint %q in state %d", s.GetEndpoint(), s.GetState())
@@ -49,7 +51,7 @@
 	}, nil
 }
 
-// FromRecords returns a batch with records, grouped by service, and the
+// FromRecords returns a batch with records, grouped by service, and ended, the
 // fingerprints of ended flows.
 func FromRecords(records []carawaycart.FlowRecord, ended []carawaycart.Fingerprint) *RecordBatch {
 	b := &RecordBatch{}
@@ -72,8 +74,8 @@
 	return b
 }
 
-// internEndpoint returns the index of endpoint in g.Endpoints and appends it if
-// it is absent.
+// internEndpoint returns the index of endpoint in g.Endpoints, to which it appends
+// endpoint if it is absent.
 func internEndpoint(g *RecordGroup, endpoint string) uint32 {
 	for i, e := range g.Endpoints {
 		if e == endpoint {
@@ -84,8 +86,9 @@
 	return uint32(len(g.Endpoints) - 1)
 }
 
-// ToRecords returns the records of b and the fingerprints of ended flows. The
-// error is NotValid.
+// ToRecords returns the records of b and the fingerprints of ended flows. The error
+// is NotValid if a group has arrays of unequal lengths or an endpoint index out of
+// range.
 func ToRecords(b *RecordBatch) ([]carawaycart.FlowRecord, []carawaycart.Fingerprint, error) {
 	var records []carawaycart.FlowRecord
 	for _, g := range b.GetGroups() {
@@ -121,7 +124,8 @@
 	}
 }
 
-// ToClaim returns the claim that c describes. The error is NotValid.
+// ToClaim returns the claim that c describes. The error is NotValid if the key is
+// empty or the state undefined.
 func ToClaim(c *Claim) (carawaycart.Claim, error) {
 	if c.GetKey() == "" || c.GetState() > uint32(carawaycart.ClaimUnknown) {
 		return carawaycart.Claim{}, errors.NotValidf("claim %q in state %d", c.GetKey(), c.GetState())
--- a/message/convert_test.go
+++ b/message/convert_test.go
@@ -10,6 +10,8 @@
 	"carawaycart/message"
 )
 
+// Flow records of several services and endpoints must survive encoding, which groups
+// them by service and replaces endpoints by indices.
 func TestRecordsRoundTrip(t *testing.T) {
 	want := []carawaycart.FlowRecord{
 		{Service: "desk", Fingerprint: 1, Endpoint: "e1", Revision: 3, OpenedUnix: 7},
@@ -27,9 +29,10 @@
 	}
 }
 
-// Guards the control traffic budget against a larger encoding of flow records.
+// Guards against an encoding of flow records that exceeds the budget for control
+// traffic.
 func TestRecordBytes(t *testing.T) {
-	const limit = 24 // bytes per record that the budget for control traffic allows
+	const limit = 24 // bytes per record that the budget allows
 	var records []carawaycart.FlowRecord
 	for i := range 1000 {
 		records = append(records, carawaycart.FlowRecord{
@@ -41,6 +44,7 @@
 	}
 }
 
+// Guards against panics on batches that decode as protobuf.
 func FuzzToRecords(f *testing.F) {
 	seed, _ := proto.Marshal(message.FromRecords([]carawaycart.FlowRecord{{Service: "s", Endpoint: "e"}}, nil))
 	f.Add(seed)
@@ -52,6 +56,7 @@
 	})
 }
 
+// Guards against panics on claims and members that decode as protobuf.
 func FuzzToClaimAndMember(f *testing.F) {
 	seed, _ := proto.Marshal(message.FromClaim(carawaycart.Claim{Key: "k"}))
 	f.Add(seed)
--- a/message/directory.go
+++ b/message/directory.go
@@ -13,8 +13,8 @@
 	"carawaycart/core/directory"
 )
 
-// maxBodyBytes is the maximum size of an uncompressed DirectoryBody, in bytes. It
-// limits the memory that a compressed body can occupy.
+// maxBodyBytes is the number of bytes after which the decompression of a
+// DirectoryBody stops. It limits the memory that a small compressed body can occupy.
 const maxBodyBytes = 64 << 20
 
 // FromItems returns the messages for items.
@@ -35,7 +35,7 @@
 	return items
 }
 
-// ToDifference returns the delta in n.
+// ToDifference returns the delta in n. It is empty if n is partial.
 func ToDifference(n *DirectoryNews) directory.Difference {
 	return directory.Difference{
 		From: carawaycart.StoreRevision(n.GetFromRevision()), To: carawaycart.StoreRevision(n.GetToRevision()),
@@ -43,8 +43,8 @@
 	}
 }
 
-// FromCopy returns the message for the snapshot c, which the store confirmed age
-// ago.
+// FromCopy returns the message for the snapshot c, where age is the time since the
+// store was read.
 func FromCopy(c directory.Copy, age time.Duration) (*DirectoryCopy, error) {
 	body := &DirectoryBody{Items: FromItems(c.Items), Keys: c.Keys}
 	for _, k := range c.Ended {
@@ -68,7 +68,8 @@
 	return &DirectoryCopy{AtRevision: uint64(c.At), AgeMs: uint32(age.Milliseconds()), CompressedBody: b.Bytes()}, nil
 }
 
-// ToCopy returns the snapshot in m. The error is NotValid.
+// ToCopy returns the snapshot in m. The error is NotValid if the body cannot be
+// decompressed or decoded.
 func ToCopy(m *DirectoryCopy) (directory.Copy, error) {
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(m.GetCompressedBody())), maxBodyBytes))
 	if err != nil {
