--- a/config.go
+++ b/config.go
@@ -9,11 +9,12 @@
 // Profile is a named set of limits and timeouts that is assigned to services.
 type Profile struct {
 	Name ProfileName `json:"name"`
-	// ColdFlows is the total number of new flows that an endpoint may receive while it is cold.
+	// ColdFlows is the total number of new flows that an endpoint may receive while it is cold (see EndpointCold).
 	ColdFlows int `json:"coldFlows"`
 	// ColdRequests is the number of requests that a cold endpoint may run concurrently.
 	ColdRequests int `json:"coldRequests"`
-	// WarmupSeconds is how long new flows ramp up after an endpoint reports that it is no longer cold.
+	// WarmupSeconds is how long the limit on new flows rises after an endpoint reports that it is no longer
+	// cold; zero lifts the limit immediately.
 	WarmupSeconds Seconds `json:"warmupSeconds"`
 	// DrainSeconds is how long the flows of a leaving endpoint may continue.
 	DrainSeconds Seconds `json:"drainSeconds"`
@@ -25,7 +26,7 @@
 	QueueSeconds Seconds `json:"queueSeconds"`
 	// RetryPercent is the number of retries allowed per 100 new requests.
 	RetryPercent int `json:"retryPercent"`
-	// AnswerSeconds is how long the answer to a keyed request is retained.
+	// AnswerSeconds is how long the answer to a keyed request is retained after the deadline of the request.
 	AnswerSeconds Seconds `json:"answerSeconds"`
 }
 
@@ -48,17 +49,18 @@
 	MarkEnded   EndpointMark = "ended"   // past its drain deadline; its flows are abandoned
 )
 
-// Endpoint is a network host that serves one service.
+// Endpoint is a network host that serves one service. It serves only flows or only
+// requests if the other address is the zero value.
 type Endpoint struct {
 	ID             EndpointID     `json:"id"`
 	Service        ServiceID      `json:"service"`
 	Zone           ZoneID         `json:"zone"`
-	FlowAddress    netip.AddrPort `json:"flowAddress"`
-	RequestAddress netip.AddrPort `json:"requestAddress"`
-	Flows          int            `json:"flows"` // maximum number of concurrent flows
-	Slots          int            `json:"slots"` // maximum number of concurrent requests
+	FlowAddress    netip.AddrPort `json:"flowAddress"`    // destination of forwarded packets
+	RequestAddress netip.AddrPort `json:"requestAddress"` // destination of HTTP requests, also those for load reports
+	Flows          int            `json:"flows"`          // maximum number of concurrent flows
+	Slots          int            `json:"slots"`          // maximum number of concurrent requests
 	Mark           EndpointMark   `json:"mark,omitempty"`
-	DrainDeadline  time.Time      `json:"drainDeadline,omitzero"`
+	DrainDeadline  time.Time      `json:"drainDeadline,omitzero"` // time at which a leaving or drained endpoint ends; zero means none
 }
 
 // Zone is an availability zone.
@@ -80,7 +82,8 @@
 	KindSettle   ObjectKind = "settle" // makes the current endpoint the base of slots whose base has no flows left
 )
 
-// Change is one entry of the change log, which is also the audit trail.
+// Change is one entry of the change log, which is also the audit trail. It records
+// the object of the given kind and name before and after the change.
 type Change struct {
 	Revision Revision        `json:"revision"`
 	ID       ChangeID        `json:"changeId"`
@@ -88,8 +91,8 @@
 	Time     time.Time       `json:"time"`
 	Kind     ObjectKind      `json:"kind"`
 	Name     string          `json:"name"`
-	Before   json.RawMessage `json:"before,omitempty"`
-	After    json.RawMessage `json:"after,omitempty"`
+	Before   json.RawMessage `json:"before,omitempty"` // empty if the object did not exist
+	After    json.RawMessage `json:"after,omitempty"`  // empty if the object was deleted
 }
 
 // SlotTable assigns the slots of one service to its endpoints.
--- a/flow.go
+++ b/flow.go
@@ -42,7 +42,7 @@
 // PacketKind tells whether a packet opens, continues or ends its flow.
 type PacketKind uint8
 
-// The kinds of packet.
+// The kinds of packet. Every UDP packet is a PacketMiddle.
 const (
 	PacketMiddle PacketKind = iota // neither opens nor ends a flow
 	PacketFirst                    // opens a flow: TCP SYN without ACK
@@ -58,8 +58,8 @@
 	// The fields below are set only by formats whose packets carry a Token.
 
 	Token        Token
-	Sequence     uint32
-	Acknowledged uint32
+	Sequence     uint32 // TCP sequence number
+	Acknowledged uint32 // TCP acknowledgement number
 	DataBytes    int
 	Copy         int  // number of earlier transmissions of a first packet
 	Reset        bool // ends the flow immediately
@@ -98,7 +98,7 @@
 	VerdictDrop    Verdict = iota // discard and count the Cause
 	VerdictForward                // send to Endpoint
 	VerdictRelay                  // send to Instance, which must not relay it again
-	VerdictReset                  // answer the caller with a reset, since the flow does not exist; count the Cause
+	VerdictReset                  // answer the caller with a reset, which ends the flow; count the Cause
 )
 
 // Cause is the reason why a packet was dropped or answered with a reset.
@@ -109,11 +109,11 @@
 	CauseNone           Cause = iota
 	CauseUnknownService       // no service has the address
 	CauseNoEndpoint           // the service has no endpoint that may receive the flow
-	CauseNoKeeper             // no instance is ready to decide
-	CauseNotKeeper            // relayed to an instance that is not the keeper of the slot
-	CauseNoCapacity           // every endpoint of the service is at its flow limit
+	CauseNoKeeper             // the current endpoint of the slot has no keeper that can be reached
+	CauseNotKeeper            // relayed to an instance that is not the keeper of the slot's current endpoint
+	CauseNoCapacity           // no endpoint of the service can admit the flow
 	CauseSpreading            // other instances may not know yet that packets of the slot must pass through its keeper
-	CauseNotReady             // this instance has no configuration yet
+	CauseNotReady             // this instance has no configuration or may not decide yet
 	CauseNoRoute              // the configuration has no route for the address
 	CauseEnded                // the endpoint that owned the flow has ended
 	CauseUnknownToken         // no known lifetime has the token of the packet
@@ -143,15 +143,15 @@
 type Decision struct {
 	Verdict  Verdict
 	Cause    Cause
-	Endpoint EndpointID
-	Instance InstanceID
-	Record   bool // the keeper recorded a new flow, whose record must be replicated
+	Endpoint EndpointID // destination of VerdictForward
+	Instance InstanceID // destination of VerdictRelay
+	Record   bool       // the keeper recorded a new flow, whose record must be replicated
 
 	// The fields below are set only by formats whose packets carry a Token.
 
 	Token   Token      // to write into a first packet
-	Zone    ZoneID     // of the endpoint
-	Number  HostNumber // of the endpoint at Address
+	Zone    ZoneID     // zone of Endpoint
+	Number  HostNumber // number of Endpoint
 	Address netip.AddrPort
 }
 
--- a/ids.go
+++ b/ids.go
@@ -35,10 +35,11 @@
 // one is valid.
 type Version uint64
 
-// IdempotencyKey identifies a keyed request over all of its attempts.
+// IdempotencyKey identifies a keyed request, an HTTP request with an Idempotency-Key
+// header, over all of its attempts.
 type IdempotencyKey string
 
-// RequestDigest is a hash of the method, target and body length of a request.
+// RequestDigest is a hash of the method, target and body of a request.
 type RequestDigest uint64
 
 // AttemptID identifies one attempt of a keyed request. It is unique over all
--- a/interfaces.go
+++ b/interfaces.go
@@ -33,8 +33,8 @@
 	// time limit passes first.
 	Wait(ctx context.Context, key string, index StoreIndex) (StoreEntry, error)
 	// CompareAndSwap writes value if the index of the entry equals index and
-	// reports whether it did. After an error the value may or may not have been
-	// written.
+	// reports whether it did. Index zero requires that the entry does not exist.
+	// After an error the value may or may not have been written.
 	CompareAndSwap(ctx context.Context, key string, value []byte, index StoreIndex) (bool, error)
 }
 
@@ -54,7 +54,8 @@
 
 // Reporter fetches the load reports of endpoints.
 type Reporter interface {
-	// Report returns the current load report of the endpoint at address.
+	// Report returns the current load report of the endpoint whose RequestAddress
+	// is address.
 	Report(ctx context.Context, address netip.AddrPort) (Report, error)
 }
 
--- a/lifetime.go
+++ b/lifetime.go
@@ -9,7 +9,8 @@
 // the flow; zero means none.
 type Token uint32
 
-// HostNumber distinguishes an endpoint from others that have used its address.
+// HostNumber distinguishes an endpoint from others that have used its address. It is
+// the hexadecimal number in the endpoint's ID, which is not zero.
 type HostNumber uint64
 
 // UnixMillis is a time in milliseconds since the Unix epoch.
@@ -23,8 +24,8 @@
 	Service  ServiceID
 	Zone     ZoneID
 	Address  netip.AddrPort
-	Slots    int
-	Draining bool
+	Slots    int           // maximum number of concurrent requests
+	Draining bool          // accepts no new flows
 	ColdLeft time.Duration // remaining cold time when the store entry was written
 }
 
@@ -40,17 +41,17 @@
 // RequestKind tells whether a request may be sent again.
 type RequestKind string
 
-// The kinds of request.
+// The kinds of request. Only safe requests may be sent again.
 const (
 	RequestSafe   RequestKind = "safe"
 	RequestUnsafe RequestKind = "unsafe"
 	RequestUpload RequestKind = "upload"
 )
 
-// RouteTarget is a service of a Route with its relative share of the new flows.
+// RouteTarget is a service of a Route with its share of the new flows.
 type RouteTarget struct {
 	Service ServiceID
-	Weight  int
+	Weight  int // relative to the weights of the other targets
 }
 
 // Route distributes the new flows to an address over services.
@@ -66,9 +67,9 @@
 // ServicePolicy holds the settings of a service in the routing configuration.
 type ServicePolicy struct {
 	ID            ServiceID
-	HealthPath    string
+	HealthPath    string  // HTTP path of the health check of its endpoints
 	Flows         int     // maximum number of concurrent flows per endpoint
-	ColdPerSecond float64 // request rate that a cold endpoint can serve
+	ColdPerSecond float64 // requests per second that a cold endpoint can serve
 }
 
 // RouteConfig is one version of the routing configuration.
@@ -96,8 +97,8 @@
 	Revision StoreRevision
 }
 
-// Record is a decoded StoreItem. At most one field is set; none is set if the item
-// is of an unknown or unusable kind.
+// Record is a decoded StoreItem. At most one field is set; none is set if the key is
+// of an unknown kind or the item is malformed.
 type Record struct {
 	Config   *RouteConfig
 	Lifetime *Lifetime
--- a/status.go
+++ b/status.go
@@ -46,9 +46,9 @@
 const (
 	EndpointUnknown EndpointState = iota // no report yet; treated as cold
 	EndpointOpen                         // receives new flows and requests
-	EndpointCold                         // receives only the new flows and requests that its profile allows
-	EndpointFull                         // at its limit or shedding
-	EndpointSilent                       // stopped reporting
+	EndpointCold                         // reports that it cannot serve its full load yet; receives only what its profile allows
+	EndpointFull                         // reports that it is at its flow limit or shedding
+	EndpointSilent                       // has stopped answering requests for load reports
 	EndpointDead                         // refuses connections
 )
 
@@ -66,8 +66,8 @@
 // instances.
 //
 // While an endpoint is Guarded, every packet of the slots whose current endpoint
-// it is must pass through the keeper, because other endpoints own some flows of
-// those slots.
+// it is must pass through the keeper, because other endpoints own, or may receive,
+// some flows of those slots.
 type EndpointStatus struct {
 	Endpoint EndpointID
 	Keeper   InstanceID
@@ -78,10 +78,10 @@
 
 // Report is the load that an endpoint reports. It may be outdated or wrong.
 type Report struct {
-	Flows    int  `json:"flows"`
-	Requests int  `json:"requests"`
-	Cold     bool `json:"cold"`
-	Shedding bool `json:"shedding"`
+	Flows    int  `json:"flows"`    // number of open flows
+	Requests int  `json:"requests"` // number of requests in progress
+	Cold     bool `json:"cold"`     // cannot serve its full load yet
+	Shedding bool `json:"shedding"` // refuses work because it is overloaded
 }
 
 // Outcome is the result of a request that is returned to its caller.
@@ -96,7 +96,7 @@
 
 // Answer is the retained answer to a keyed request.
 type Answer struct {
-	Status      int
+	Status      int // HTTP status; zero if the answer was too large to be retained
 	ContentType string
 	Body        []byte
 }
@@ -120,6 +120,6 @@
 	Attempt  AttemptID  // attempt that may reach an endpoint
 	Entry    InstanceID // instance that makes the attempt
 	State    ClaimState
-	Answer   Answer
+	Answer   Answer    // set only in state ClaimAnswered
 	Deadline time.Time // time at which the claim may be deleted
 }
