--- a/cmd/carawaycart/balancer.go
+++ b/cmd/carawaycart/balancer.go
@@ -57,13 +57,14 @@
 		return err
 	}
 	<-ctx.Done()
-	stop, cancel := context.WithTimeout(context.Background(), balancer.StopLimit)
+	stopCtx, cancel := context.WithTimeout(context.Background(), balancer.StopLimit)
 	defer cancel()
-	return b.Stop(stop)
+	return b.Stop(stopCtx)
 }
 
-// runEdge runs an instance for packets that carry tokens until ctx is done. It
-// reloads the settings when the file at path changes or on SIGHUP.
+// runEdge runs an instance for packets that carry tokens until ctx is done. When the
+// content of the settings file at path has changed, it applies the settings that can
+// change in a running instance. The file is checked periodically and on SIGHUP.
 func runEdge(ctx context.Context, path string, s settings.Settings) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
--- a/cmd/carawaycart/demo.go
+++ b/cmd/carawaycart/demo.go
@@ -56,8 +56,8 @@
 		})
 }
 
-// runTokenDemo runs the demo with packets that carry tokens and fails if a promise
-// is broken.
+// runTokenDemo runs the demo with packets that carry tokens. It returns an error if a
+// guarantee, which the output calls a promise, is violated.
 func runTokenDemo(ctx context.Context, stdout, progress io.Writer) error {
 	o := demo.DefaultTokenOptions()
 	o.Progress = progress
@@ -66,8 +66,8 @@
 		return err
 	}
 	_, _ = fmt.Fprintln(stdout, "packets with tokens:", summary)
-	for _, b := range violations {
-		_, _ = fmt.Fprintln(stdout, "BROKEN PROMISE:", b)
+	for _, v := range violations {
+		_, _ = fmt.Fprintln(stdout, "BROKEN PROMISE:", v)
 	}
 	if len(violations) > 0 {
 		return errors.Errorf("%d promises were not held", len(violations))
@@ -76,6 +76,9 @@
 	return nil
 }
 
+// runDemo runs the demo with Geneve packets. It writes the report to stdout and, if
+// path is not empty, as JSON to the file at path. It returns an error if a guarantee
+// is violated.
 func runDemo(ctx context.Context, o demo.Options, path string, stdout io.Writer) error {
 	r, err := demo.Run(ctx, o)
 	if err != nil {
@@ -90,8 +93,8 @@
 		}
 	}
 	violations := r.Breaches()
-	for _, b := range violations {
-		_, _ = fmt.Fprintf(stdout, "BROKEN PROMISE: %s (seen: %s)\n", b.Promise, b.Seen)
+	for _, v := range violations {
+		_, _ = fmt.Fprintf(stdout, "BROKEN PROMISE: %s (seen: %s)\n", v.Promise, v.Seen)
 	}
 	if len(violations) > 0 {
 		return errors.Errorf("%d promises were not held", len(violations))
--- a/cmd/carawaycart/main.go
+++ b/cmd/carawaycart/main.go
@@ -82,8 +82,9 @@
 	)
 }
 
-// newCommand returns a command that runs exec, and prints its usage if exec is nil
-// or returns flag.ErrHelp.
+// newCommand returns a command that runs exec, and prints its usage if exec returns
+// flag.ErrHelp. A nil exec returns flag.ErrHelp, or a usage error for an unknown
+// subcommand.
 func newCommand(stderr io.Writer, name, usage, help string, flags *flag.FlagSet,
 	exec func(context.Context, []string) error, subcommands ...*ffcli.Command,
 ) *ffcli.Command {
--- a/cmd/carawaycart/memory_releaser.go
+++ b/cmd/carawaycart/memory_releaser.go
@@ -12,33 +12,34 @@
 const memoryReleasePeriod = 5 * time.Second
 
 // memoryReleaser periodically returns unused memory of the Go runtime to the
-// operating system. Instances are small and memory has a price, and the runtime by
-// itself would retain the memory needed by a start or a burst for minutes.
+// operating system. Instances are small and their memory is paid for, but the runtime
+// by itself would retain memory that only a start or a burst needed for minutes.
 type memoryReleaser struct {
 	stop chan struct{}
 	done sync.WaitGroup
 }
 
 // newMemoryReleaser returns a running memoryReleaser, which releases memory every
-// period until close.
+// period until close is called.
 func newMemoryReleaser(period time.Duration) *memoryReleaser {
-	t := &memoryReleaser{stop: make(chan struct{})}
-	t.done.Go(func() {
+	r := &memoryReleaser{stop: make(chan struct{})}
+	r.done.Go(func() {
 		tick := time.NewTicker(period)
 		defer tick.Stop()
 		for {
 			select {
-			case <-t.stop:
+			case <-r.stop:
 				return
 			case <-tick.C:
 				debug.FreeOSMemory()
 			}
 		}
 	})
-	return t
+	return r
 }
 
-func (t *memoryReleaser) close() {
-	close(t.stop)
-	t.done.Wait()
+// close stops the releases and waits until a release in progress has ended.
+func (r *memoryReleaser) close() {
+	close(r.stop)
+	r.done.Wait()
 }
--- a/cmd/carawaycart/memory_releaser_test.go
+++ b/cmd/carawaycart/memory_releaser_test.go
@@ -15,9 +15,11 @@
 	return s[0].Value.Uint64()
 }
 
+// TestMemoryReleaserReturnsUnusedMemory guards against unused memory that stays with
+// the runtime, as it does after a burst if nothing releases it.
 func TestMemoryReleaserReturnsUnusedMemory(t *testing.T) {
-	const allocated = 32 << 20
-	b := make([]byte, allocated)
+	const allocatedBytes = 32 << 20
+	b := make([]byte, allocatedBytes)
 	for i := range b {
 		b[i] = 1
 	}
@@ -26,10 +28,10 @@
 	releaser := newMemoryReleaser(10 * time.Millisecond)
 	defer releaser.close()
 	for range 500 { // upper limit, so that a failing test ends
-		if releasedBytes() >= before+allocated/2 {
+		if releasedBytes() >= before+allocatedBytes/2 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Errorf("got %d bytes released, want about %d", releasedBytes()-before, allocated)
+	t.Errorf("got %d bytes released, want about %d", releasedBytes()-before, allocatedBytes)
 }
--- a/cmd/carawaycart/objects.go
+++ b/cmd/carawaycart/objects.go
@@ -118,7 +118,10 @@
 		})
 }
 
-func newSetCommand(stdout, stderr io.Writer, kind carawaycart.ObjectKind, idField string, object func() any) *ffcli.Command {
+// newSetCommand returns a command that sets fields of an object of the given kind.
+// The field idField of its JSON form holds its name. newObject returns a pointer to a
+// zero object.
+func newSetCommand(stdout, stderr io.Writer, kind carawaycart.ObjectKind, idField string, newObject func() any) *ffcli.Command {
 	flags := newFlags("set")
 	var f storeFlags
 	f.register(flags)
@@ -133,6 +136,6 @@
 			}
 			ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 			defer cancel()
-			return setFields(ctx, s, kind, args[0], idField, args[1:], object())
+			return setFields(ctx, s, kind, args[0], idField, args[1:], newObject())
 		})
 }
--- a/cmd/carawaycart/operator.go
+++ b/cmd/carawaycart/operator.go
@@ -40,7 +40,7 @@
 func (f *storeFlags) register(flags *flag.FlagSet) {
 	flags.StringVar(&f.url, "store", os.Getenv("CARAWAYCART_STORE"), "`URL` of the platform's store (default $CARAWAYCART_STORE)")
 	flags.StringVar(&f.fabric, "fabric", cmp.Or(os.Getenv("CARAWAYCART_FABRIC"), string(settings.FormatGeneve)),
-		"`format` of the packets, geneve or token: token selects the store of the users' platform (default $CARAWAYCART_FABRIC)")
+		"`format` of the packets, geneve or token: token selects the store of the platform whose packets carry tokens (default $CARAWAYCART_FABRIC)")
 	flags.StringVar(&f.operator, "operator", defaultOperator(), "`name` of the operator in the audit trail")
 	flags.StringVar(&f.output, "output", "table", "`format` of the output, table or json")
 	flags.BoolVar(&f.dryRun, "dry-run", false, "check a change against the latest configuration and show it without applying it")
@@ -83,18 +83,19 @@
 		return nil, usagef("-fabric %q (want geneve or token)", f.fabric)
 	}
 	log := platform.NewChangeLog(store, clock)
-	changes := admin.NewAdmin(log, carawaycart.OperatorName(f.operator), clock)
+	editor := admin.NewAdmin(log, carawaycart.OperatorName(f.operator), clock)
 	if f.dryRun {
-		changes = changes.DryRun()
+		editor = editor.DryRun()
 	}
-	return &session{log: log, admin: changes, stdout: stdout, json: f.output == "json", dryRun: f.dryRun}, nil
+	return &session{log: log, admin: editor, stdout: stdout, json: f.output == "json", dryRun: f.dryRun}, nil
 }
 
 // storeAction is the implementation of a command, given its arguments.
 type storeAction func(context.Context, *session, []string) error
 
 // newStoreCommand returns a command that opens a session and calls runAction. The
-// command requires exactly argCount arguments.
+// command requires exactly argCount arguments. Each function in register adds flags
+// to the command.
 func newStoreCommand(stdout, stderr io.Writer, name, usage, help string, argCount int, runAction storeAction, register ...func(*flag.FlagSet)) *ffcli.Command {
 	flags := newFlags(name)
 	var f storeFlags
@@ -187,7 +188,9 @@
 }
 
 // setFields applies "field=value" assignments to the JSON object with the given
-// kind and name, decodes the result strictly into object and stores it.
+// kind and name, or to an empty object if it does not exist, and stores the result.
+// The field idField holds the name. The result is decoded into object, which must
+// be a pointer to a zero object; an unknown field is an error.
 func setFields(ctx context.Context, s *session, kind carawaycart.ObjectKind, name, idField string, assignments []string, object any) error {
 	c, err := s.log.Latest(ctx)
 	if err != nil {
@@ -221,8 +224,8 @@
 	return s.printChange(s.admin.Put(ctx, kind, name, object))
 }
 
-// fieldValue encodes a value of the command line as a JSON number if it is one, and
-// as a JSON string otherwise.
+// fieldValue encodes a value of the command line as JSON. A JSON number or null stays
+// as it is; any other value becomes a string.
 func fieldValue(v string) json.RawMessage {
 	var number json.Number
 	if err := json.Unmarshal([]byte(v), &number); err == nil && !strings.HasPrefix(v, `"`) {
--- a/cmd/carawaycart/operator_test.go
+++ b/cmd/carawaycart/operator_test.go
@@ -9,6 +9,8 @@
 	"carawaycart/platform/standin"
 )
 
+// TestDryRunChangesNothing guards against a dry run that writes to the store, or
+// whose result differs from that of the same command without -dry-run.
 func TestDryRunChangesNothing(t *testing.T) {
 	s, err := standin.NewSite(1, 1)
 	if err != nil {
--- a/cmd/carawaycart/standin.go
+++ b/cmd/carawaycart/standin.go
@@ -36,11 +36,14 @@
 				return err
 			}
 			defer closeLogs()
-			return runStandins(ctx, s, *dir, *instances, *port, stdout)
+			return runEnvironment(ctx, s, *dir, *instances, *port, stdout)
 		})
 }
 
-func runStandins(ctx context.Context, site standin.Site, dir string, instances, port int, stdout io.Writer) error {
+// runEnvironment runs the simulated environment until ctx is done and then prints a
+// report. It writes a settings file to dir for each instance, and prints the commands
+// that start the instances.
+func runEnvironment(ctx context.Context, site standin.Site, dir string, instances, port int, stdout io.Writer) error {
 	environment, err := demo.NewEnvironment(ctx, site, demo.ExternalInstances(site, instances, port))
 	if err != nil {
 		return err
--- a/cmd/carawaycart/trace.go
+++ b/cmd/carawaycart/trace.go
@@ -39,7 +39,7 @@
 }
 
 // trace prints the lines of files that contain one of terms as a field, sorted by
-// time.
+// time. A term has the form name=value.
 func trace(files, terms []string, stdout io.Writer) error {
 	var lines []string
 	for _, path := range files {
@@ -58,6 +58,8 @@
 	return nil
 }
 
+// matchingLines returns the lines of the file at path that contain one of terms as a
+// field.
 func matchingLines(path string, terms []string) ([]string, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -77,8 +79,8 @@
 	return lines, errors.Annotatef(scanner.Err(), "read %s", path)
 }
 
-// logTime returns the time field of a line, or "" if there is none. Times compare
-// correctly as text.
+// logTime returns the time field of a line, or "" if there is none. The times are in
+// UTC and of a fixed width, so they compare correctly as text.
 func logTime(line string) string {
 	for _, f := range strings.Fields(line) {
 		if t, ok := strings.CutPrefix(f, "time="); ok {
--- a/cmd/carawaycart/trace_test.go
+++ b/cmd/carawaycart/trace_test.go
@@ -7,6 +7,9 @@
 	"testing"
 )
 
+// TestTraceSortsLinesOfSeveralLogsByTime guards against lines that are out of order,
+// lines of another flow whose address begins with the same text, and lines that are
+// missed because a prefix, as of a log collector, precedes their fields.
 func TestTraceSortsLinesOfSeveralLogsByTime(t *testing.T) {
 	dir := t.TempDir()
 	one, two := filepath.Join(dir, "one.log"), filepath.Join(dir, "two.log")
@@ -29,6 +32,8 @@
 	}
 }
 
+// TestTraceRequiresFiles guards against a trace without files that succeeds with
+// empty output.
 func TestTraceRequiresFiles(t *testing.T) {
 	var out bytes.Buffer
 	if code := run(t.Context(), []string{"trace", "-flow", "100.64.0.1:10"}, &out, &out); code != exitUsage {
