--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,35 +16,38 @@
 	"carawaycart/core/config"
 )
 
+// Bounds of the settings [threads] fabric and [limits] graceSeconds, and the common
+// upper bound of [limits] coldOverrun and coldSlack.
 const (
 	minThreads = 1
 	maxThreads = 64
 
 	maxGraceSeconds = 600
-	maxColdLimit    = 1000
+	maxColdSetting  = 1000
 )
 
 // Settings holds the settings of one instance.
 type Settings struct {
 	ID            carawaycart.InstanceID
 	Zone          carawaycart.ZoneID
-	Fabric        netip.AddrPort // UDP address for packets from the fabric
-	Request       netip.AddrPort // TCP address for HTTP requests of callers
-	Peer          netip.AddrPort // TCP address for calls and UDP address for packets of peers
-	Operator      netip.AddrPort // TCP address for operators and metrics over HTTP
-	Store         string         // URL of the platform's store
-	List          string         // URL of the platform's instance list
-	Seeds         []netip.AddrPort
-	FabricThreads int
+	Fabric        netip.AddrPort   // UDP address for packets from the fabric
+	Request       netip.AddrPort   // TCP address for HTTP requests of callers; set only for FormatGeneve
+	Peer          netip.AddrPort   // TCP address for calls and UDP address for packets of peers
+	Operator      netip.AddrPort   // TCP address for operators and metrics over HTTP
+	Store         string           // URL of the platform's store
+	List          string           // URL of the platform's instance list; set only for FormatGeneve
+	Seeds         []netip.AddrPort // peer addresses of instances through which this one joins the fleet
+	FabricThreads int              // number of threads that forward packets
 
-	// The fields below except Format are set only for FormatToken.
+	Format Format
+
+	// The fields below are set only for FormatToken.
 
-	Format       Format
 	Ready        netip.AddrPort      // TCP address of the HTTP readiness check of the fabric
 	GraceSeconds carawaycart.Seconds // time from SIGTERM until the instance is killed
 	FirstStart   bool                // the whole fleet starts for the first time, so seeds get more time to answer
-	ColdOverrun  float64             // maximum load of a cold endpoint as a multiple of the rate that it says it can serve
-	ColdSlack    float64             // requests per second allowed in addition
+	ColdOverrun  float64             // limit on the new flows per second of a cold endpoint, as a multiple of ServicePolicy.ColdPerSecond
+	ColdSlack    float64             // new flows per second added to that limit
 }
 
 // Format is the encapsulation of packets by the fabric.
@@ -52,8 +55,8 @@
 
 // The formats.
 const (
-	FormatGeneve Format = "geneve" // Geneve; the owner of a flow is found by its record
-	FormatToken  Format = "token"  // the platform's own; the owner of a flow is found by its token
+	FormatGeneve Format = "geneve" // Geneve; the owner of a flow is found by its slot and record
+	FormatToken  Format = "token"  // format whose packets carry a token, which identifies the owner of a flow
 )
 
 // Fault describes an error in a settings file.
@@ -92,7 +95,7 @@
 	Section    string
 	Key        string
 	Meaning    string
-	Default    string
+	Default    string // value if the setting is absent; empty means none
 	Required   bool
 	OnlyFormat Format // only format whose files may have the setting; empty means all
 	set        func(*Settings, string) error
@@ -101,6 +104,8 @@
 // Fields returns the descriptions of all settings in the order of a settings file.
 func Fields() []Field { return slices.Clone(fields) }
 
+// fields lists all settings in the order in which they are read. The format must
+// precede the settings that are valid only with one format.
 var fields = []Field{
 	{
 		Section: "instance", Key: "id", Meaning: "Name of the instance, unique in the fleet and over restarts.", Required: true,
@@ -194,6 +199,8 @@
 	},
 }
 
+// addressSetter returns a set function that parses an IP address with a port and
+// stores it in field.
 func addressSetter(field func(*Settings) *netip.AddrPort) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		a, err := netip.ParseAddrPort(v)
@@ -205,11 +212,13 @@
 	}
 }
 
+// decimalSetter returns a set function that parses a number from 0 to maxColdSetting
+// and stores it in field.
 func decimalSetter(field func(*Settings) *float64) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		n, err := strconv.ParseFloat(v, 64)
-		if err != nil || n < 0 || n > maxColdLimit {
-			return errors.NotValidf("%q (want 0 to %d)", v, maxColdLimit)
+		if err != nil || n < 0 || n > maxColdSetting {
+			return errors.NotValidf("%q (want 0 to %d)", v, maxColdSetting)
 		}
 		*field(s) = n
 		return nil
@@ -271,6 +280,7 @@
 // Parse parses the contents of a settings file. Faults refer to the file by name.
 // The error is nil or a FaultsError.
 func Parse(name string, data []byte) (Settings, error) {
+	// AllowShadows retains the values of repeated keys, so that setField can reject them.
 	file, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, IgnoreInlineComment: true}, data)
 	if err != nil {
 		return Settings{}, FaultsError{{File: name, Section: "", Problem: err.Error()}}
@@ -278,19 +288,21 @@
 	var s Settings
 	var faults FaultsError
 	for _, f := range fields {
-		if problem := readField(&s, file, f); problem != "" {
+		if problem := setField(&s, file, f); problem != "" {
 			faults = append(faults, Fault{File: name, Section: f.Section, Key: f.Key, Problem: problem})
 		}
 	}
-	faults = append(faults, unknownNames(name, file)...)
-	faults = append(faults, checkPeerAddress(name, &s)...)
+	faults = append(faults, unknownNameFaults(name, file)...)
+	faults = append(faults, peerAddressFaults(name, &s)...)
 	if len(faults) > 0 {
 		return s, faults
 	}
 	return s, nil
 }
 
-func readField(s *Settings, file *ini.File, f Field) string {
+// setField sets the field of s that f describes from file, or to the default if the
+// key is absent. It returns the problem with the setting, or "" if there is none.
+func setField(s *Settings, file *ini.File, f Field) string {
 	section := file.Section(f.Section)
 	otherFormat := f.OnlyFormat != "" && s.Format != "" && f.OnlyFormat != s.Format
 	if !section.HasKey(f.Key) {
@@ -322,7 +334,9 @@
 	return err.Error()
 }
 
-func unknownNames(name string, file *ini.File) FaultsError {
+// unknownNameFaults returns a fault for each unknown section and key of file, whose
+// name is name.
+func unknownNameFaults(name string, file *ini.File) FaultsError {
 	var faults FaultsError
 	for _, section := range file.Sections() {
 		isKnown := slices.ContainsFunc(fields, func(f Field) bool { return f.Section == section.Name() })
@@ -340,7 +354,9 @@
 	return faults
 }
 
-func checkPeerAddress(name string, s *Settings) FaultsError {
+// peerAddressFaults returns a fault if peers cannot connect to the peer address of s,
+// which was read from the file with the given name.
+func peerAddressFaults(name string, s *Settings) FaultsError {
 	if s.Peer.IsValid() && s.Peer.Addr().IsUnspecified() {
 		return FaultsError{{
 			File: name, Section: "listen", Key: "peer",
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -40,6 +40,7 @@
 	}
 }
 
+// FuzzParse guards against a file that makes Parse panic.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[instance]\nid = a\n"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
@@ -47,6 +48,8 @@
 	})
 }
 
+// TestParseHandlesCorruptedFiles guards against a corrupted file that makes Parse
+// panic, and against mutations that leave every file valid.
 func TestParseHandlesCorruptedFiles(t *testing.T) {
 	valid, err := os.ReadFile("testdata/good.ini")
 	if err != nil {
@@ -63,6 +66,8 @@
 	}
 }
 
+// TestReferenceIsUpToDate guards against a setting that was changed without the
+// reference page for operators.
 func TestReferenceIsUpToDate(t *testing.T) {
 	const page = "../../docs/operators/SETTINGS.md"
 	got, err := os.ReadFile(page)
--- a/internal/settings/template_test.go
+++ b/internal/settings/template_test.go
@@ -8,8 +8,8 @@
 	"carawaycart/internal/settings"
 )
 
-// exampleFields holds example values of the template fields that the platform
-// fills in.
+// exampleFields holds example values of the placeholders in deploy/settings.ini, the
+// template from which the platform makes the settings file of an instance.
 var exampleFields = map[string]string{
 	"node_name": "front-bergen-a-1", "zone": "bergen-a", "ip": "10.1.0.10", "inner_ports.0": "7720", "inner_ports.1": "7735",
 	"listen.packet_addr": "10.1.0.10:8172", "listen.ready": "10.1.0.10:8167", "platform.address": "10.200.1.7:8169",
@@ -19,6 +19,8 @@
 
 var placeholderPattern = regexp.MustCompile(`\{\{([a-z_.0-9]+)\}\}`)
 
+// TestPlatformTemplateIsValid guards against a template whose placeholders the
+// platform does not know or whose settings do not parse, so that no instance starts.
 func TestPlatformTemplateIsValid(t *testing.T) {
 	template, err := os.ReadFile("../../deploy/settings.ini")
 	if err != nil {
--- a/internal/settings/watcher.go
+++ b/internal/settings/watcher.go
@@ -15,7 +15,7 @@
 type Watcher struct {
 	path     string
 	onChange func(Settings, error)
-	content  []byte
+	content  []byte // content when last read; nil if the file has never been read
 	stop     chan struct{}
 	done     sync.WaitGroup
 }
