--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -33,7 +33,8 @@
 	return &dryRun
 }
 
-// Put creates or replaces the object with the given kind and name.
+// Put creates or replaces the object with the given kind and name by the JSON form of
+// object.
 func (a *Admin) Put(ctx context.Context, kind carawaycart.ObjectKind, name string, object any) (carawaycart.Change, error) {
 	data, err := json.Marshal(object)
 	if err != nil {
@@ -53,6 +54,9 @@
 	})
 }
 
+// edit appends the change that update makes to the object with the given kind and
+// name, or only checks it in a dry run. It calls update with the current object, which
+// is nil if it does not exist; a nil result deletes the object.
 func (a *Admin) edit(ctx context.Context, kind carawaycart.ObjectKind, name string,
 	update func(json.RawMessage) (json.RawMessage, error),
 ) (carawaycart.Change, error) {
@@ -82,8 +86,8 @@
 }
 
 // Leave marks endpoint id as leaving. Its flows may continue until they end or until
-// the drain time in the profile of its service has passed. The error is NotValid if
-// the endpoint already has a mark.
+// the drain time in the profile of its service has passed. The error is NotFound if
+// the endpoint does not exist and NotValid if it already has a mark.
 func (a *Admin) Leave(ctx context.Context, id carawaycart.EndpointID) (carawaycart.Change, error) {
 	c, err := a.log.Latest(ctx)
 	if err != nil {
@@ -100,7 +104,8 @@
 	})
 }
 
-// ClearMark removes the mark and the drain deadline of endpoint id.
+// ClearMark removes the mark and the drain deadline of endpoint id. The error is
+// NotFound if the endpoint does not exist.
 func (a *Admin) ClearMark(ctx context.Context, id carawaycart.EndpointID) (carawaycart.Change, error) {
 	return modify(ctx, a, carawaycart.KindEndpoint, string(id), func(e *carawaycart.Endpoint) error {
 		e.Mark = carawaycart.MarkNone
@@ -110,7 +115,7 @@
 }
 
 // SetZone takes availability zone id out of service, or brings it back if out is
-// false.
+// false. The error is NotFound if the zone does not exist.
 func (a *Admin) SetZone(ctx context.Context, id carawaycart.ZoneID, out bool) (carawaycart.Change, error) {
 	return modify(ctx, a, carawaycart.KindZone, string(id), func(z *carawaycart.Zone) error {
 		z.Out = out
@@ -118,7 +123,8 @@
 	})
 }
 
-// AssignProfile assigns profile p to service id.
+// AssignProfile assigns profile p to service id. The error is NotFound if the service
+// does not exist.
 func (a *Admin) AssignProfile(ctx context.Context, id carawaycart.ServiceID, p carawaycart.ProfileName) (carawaycart.Change, error) {
 	return modify(ctx, a, carawaycart.KindService, string(id), func(s *carawaycart.Service) error {
 		s.Profile = p
