--- a/internal/mutate/mutate.go
+++ b/internal/mutate/mutate.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Each calls f with count corrupted copies of randomly chosen samples. Equal seeds
-// give equal copies. A copy may have up to three bits flipped, and may be truncated
-// or have a prefix repeated.
+// Each calls f count times, each time with a corrupted copy of a randomly chosen
+// sample. Equal seeds give equal copies. A copy has up to three bits flipped, and may
+// be truncated or have a prefix repeated, so that it may also equal the sample.
 func Each(seed uint64, count int, samples [][]byte, f func([]byte)) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	for range count {
