--- a/internal/demo/bench_test.go
+++ b/internal/demo/bench_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	benchTimeout = time.Minute
-	benchPeriod  = 10 * time.Second
+	benchTimeout = time.Minute      // limit of the start of a fleet and of a series of changes
+	benchPeriod  = 10 * time.Second // time over which BenchmarkIdle measures
 )
 
 // newBenchFleet returns a ready fleet of n instances in four zones, and an Admin.
@@ -74,11 +74,11 @@
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				f, _ := newBenchFleet(b, n)
-				bytes, processor := f.controlBytesTotal(), cpuTime()
+				bytesBefore, cpuBefore := f.controlBytesTotal(), cpuTime()
 				time.Sleep(benchPeriod)
 				instanceSeconds := float64(n) * benchPeriod.Seconds()
-				b.ReportMetric(float64(f.controlBytesTotal()-bytes)/instanceSeconds, "bytes/s/instance")
-				b.ReportMetric(100*(cpuTime()-processor).Seconds()/instanceSeconds, "%core/instance")
+				b.ReportMetric(float64(f.controlBytesTotal()-bytesBefore)/instanceSeconds, "bytes/s/instance")
+				b.ReportMetric(100*(cpuTime()-cpuBefore).Seconds()/instanceSeconds, "%core/instance")
 				f.Close()
 			}
 		})
@@ -94,7 +94,7 @@
 			for b.Loop() {
 				f, a := newBenchFleet(b, n)
 				ctx, cancel := context.WithTimeout(context.Background(), benchTimeout)
-				bytes := f.controlBytesTotal()
+				bytesBefore := f.controlBytesTotal()
 				begin := time.Now()
 				var longest time.Duration
 				for range changes {
@@ -109,7 +109,7 @@
 					longest = max(longest, time.Since(accepted))
 				}
 				elapsed := time.Since(begin).Seconds()
-				b.ReportMetric(float64(f.controlBytesTotal()-bytes)/float64(n*changes), "bytes/change/instance")
+				b.ReportMetric(float64(f.controlBytesTotal()-bytesBefore)/float64(n*changes), "bytes/change/instance")
 				b.ReportMetric(elapsed/changes, "s/change")
 				b.ReportMetric(longest.Seconds(), "s-in-force-max")
 				cancel()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -16,14 +16,14 @@
 	"carawaycart/internal/standin"
 )
 
-// Options configures a demo. Feeds are long-lived flows, uploads short ones.
+// Options configures a demo.
 type Options struct {
 	Site     standin.Site
-	Seed     uint64
-	Feeds    int // number of flows of the main service
-	Uploads  int // mean number of concurrent flows of the intake service
-	Requests int // keyed requests per second
-	Progress io.Writer
+	Seed     uint64    // determines the random choices of the script, fabric and callers
+	Feeds    int       // number of flows of the main service
+	Uploads  int       // mean number of concurrent flows of the intake service
+	Requests int       // keyed requests per second
+	Progress io.Writer // destination of the progress messages
 }
 
 // DefaultOptions returns the options of a demo of the given site, which discard
@@ -33,29 +33,29 @@
 }
 
 const (
-	feedInterval   = 500 * time.Millisecond
-	uploadInterval = 100 * time.Millisecond
-	uploadLength   = 3 * time.Second
-	rampPeriod     = 3 * time.Second
-	coldPeriod     = 4 * time.Second
-	changeLimit    = 10 * time.Second
-	// graceSeconds is the time after which an endpoint that leaves, or a zone that
-	// is taken out, must receive no more work.
+	feedInterval   = 500 * time.Millisecond // time between data segments of a feed
+	uploadInterval = 100 * time.Millisecond // time between data segments of an upload
+	uploadDuration = 3 * time.Second
+	rampPeriod     = 3 * time.Second  // time over which the feeds are opened
+	coldPeriod     = 4 * time.Second  // time for which the script makes an endpoint cold
+	changeTimeout  = 10 * time.Second // longest wait until all instances have applied a change
+	// graceSeconds is the time after which an endpoint that starts to leave, or a zone
+	// that is taken out of service, must receive no more work.
 	graceSeconds = 3
 	demoProfile  = carawaycart.ProfileName("demo")
 	operatorName = carawaycart.OperatorName("demo-operator")
 )
 
-// Demo is the state of one run.
+// Demo is the state of one run of a demo.
 type Demo struct {
 	options Options
 	fleet   *Fleet
 	admin   *admin.Admin
 	random  *rand.Rand
-	report  Report
+	report  Report // complete once the script and the watchers have ended
 	start   time.Time
 
-	callers          sync.WaitGroup
+	callers          sync.WaitGroup // goroutines that generate load
 	highestRevisions map[carawaycart.InstanceID]carawaycart.Revision
 }
 
@@ -81,11 +81,11 @@
 		return err
 	}
 	var watchers sync.WaitGroup
-	watch, stopWatching := context.WithCancel(ctx)
-	watchers.Go(func() { d.fleet.MeasureControlBytes(watch) })
-	watchers.Go(func() { d.watchRevisions(watch) })
-	load, stopLoad := context.WithCancel(ctx)
-	d.startLoad(load)
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	watchers.Go(func() { d.fleet.MeasureControlBytes(watchCtx) })
+	watchers.Go(func() { d.watchRevisions(watchCtx) })
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	d.startLoad(loadCtx)
 	err := d.runScript(ctx)
 	stopLoad()
 	d.callers.Wait()
@@ -138,6 +138,8 @@
 	return c.Revision, err
 }
 
+// addEndpoint starts endpoint i of a service. While cold, it accepts 5 flows more
+// than the profile allows instances to send.
 func (d *Demo) addEndpoint(s standin.SiteService, i int) (*standin.Host, error) {
 	zones := d.options.Site.Zones
 	return d.fleet.AddEndpoint(standin.EndpointConfig{
@@ -146,6 +148,8 @@
 	})
 }
 
+// startInstances starts the instances of the site and sends them traffic once all
+// are ready and have applied revision r.
 func (d *Demo) startInstances(ctx context.Context, r carawaycart.Revision) error {
 	zones := d.options.Site.Zones
 	for i := range d.options.Site.Instances {
@@ -154,7 +158,7 @@
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, changeLimit)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	if err := d.fleet.AwaitReady(ctx, r); err != nil {
 		return errors.Annotate(err, "wait for all instances to become ready")
@@ -166,6 +170,7 @@
 	return nil
 }
 
+// addInstance starts an instance, which receives no traffic yet.
 func (d *Demo) addInstance(id carawaycart.InstanceID, z carawaycart.ZoneID) error {
 	d.report.Instances++
 	return d.fleet.AddInstance(id, z)
@@ -194,19 +199,20 @@
 
 // applyChange applies a configuration change and waits, for at most changeLimit,
 // until all instances have applied it. A change that takes longer is not an error
-// here; its time is recorded in the report.
-func (d *Demo) applyChange(ctx context.Context, what string, make func() (carawaycart.Change, error)) error {
+// here; the report then contains the time waited. The function make submits the
+// change.
+func (d *Demo) applyChange(ctx context.Context, description string, make func() (carawaycart.Change, error)) error {
 	c, err := make()
 	if err != nil {
-		return errors.Annotate(err, what)
+		return errors.Annotate(err, description)
 	}
 	accepted := time.Now()
-	wait, cancel := context.WithTimeout(ctx, changeLimit)
+	waitCtx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	err = d.fleet.AwaitRevision(wait, c.Revision)
+	err = d.fleet.AwaitRevision(waitCtx, c.Revision)
 	took := time.Since(accepted).Seconds()
 	d.report.ConfigInForceSecondsMax = max(d.report.ConfigInForceSecondsMax, took)
-	d.printProgress("%s (revision %d, in force after %.2f s)", what, c.Revision, took)
+	d.printProgress("%s (revision %d, in force after %.2f s)", description, c.Revision, took)
 	if err != nil && ctx.Err() != nil {
 		return err
 	}
@@ -225,6 +231,6 @@
 	d.report.ElapsedSeconds = time.Since(d.start).Seconds()
 }
 
-// graceDeadline returns the cutoff for an endpoint that leaves, or a zone that is
-// taken out, now.
+// graceDeadline returns the time from which an endpoint that starts to leave now, or
+// a zone that is taken out of service now, must receive no more work.
 func graceDeadline() time.Time { return time.Now().Add(graceSeconds * time.Second) }
--- a/internal/demo/environment.go
+++ b/internal/demo/environment.go
@@ -15,12 +15,13 @@
 )
 
 const (
-	portsPerInstance = 10 // ports reserved for an external instance
-	checkPeriod      = 500 * time.Millisecond
-	checkTimeout     = 200 * time.Millisecond
+	portsPerInstance = 10                     // ports reserved for an external instance
+	checkInterval    = 500 * time.Millisecond // time between health checks of an instance
+	checkTimeout     = 200 * time.Millisecond // timeout of a health check
 )
 
-// ExternalInstance is an instance that runs outside this process.
+// ExternalInstance is an instance that runs outside this process. Fabric, Request,
+// Peer and Operator are its listen addresses.
 type ExternalInstance struct {
 	ID       carawaycart.InstanceID
 	Zone     carawaycart.ZoneID
@@ -36,11 +37,11 @@
 	instances := make([]ExternalInstance, n)
 	for i := range instances {
 		z := site.Zones[i%len(site.Zones)]
-		at := func(offset int) netip.AddrPort {
+		addressAt := func(offset int) netip.AddrPort {
 			return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(port+i*portsPerInstance+offset))
 		}
 		instances[i] = ExternalInstance{
-			ID: standin.InstanceName(z, i/len(site.Zones)), Zone: z, Fabric: at(0), Request: at(1), Peer: at(2), Operator: at(3),
+			ID: standin.InstanceName(z, i/len(site.Zones)), Zone: z, Fabric: addressAt(0), Request: addressAt(1), Peer: addressAt(2), Operator: addressAt(3),
 		}
 	}
 	return instances
@@ -50,7 +51,7 @@
 type Environment struct {
 	demo      *Demo
 	instances []ExternalInstance
-	up        map[carawaycart.InstanceID]bool
+	reachable map[carawaycart.InstanceID]bool // results of the latest health checks
 }
 
 // NewEnvironment starts the emulated systems of a site and writes its
@@ -65,7 +66,7 @@
 		d.fleet.Close()
 		return nil, err
 	}
-	return &Environment{demo: d, instances: instances, up: make(map[carawaycart.InstanceID]bool)}, nil
+	return &Environment{demo: d, instances: instances, reachable: make(map[carawaycart.InstanceID]bool)}, nil
 }
 
 // newDemo returns a demo with a running platform and no endpoints or instances.
@@ -99,10 +100,10 @@
 		i.ID, i.Zone, i.Fabric, i.Request, i.Peer, i.Operator, e.demo.fleet.Store.URL(), e.demo.fleet.List.URL())
 }
 
-// Run generates load until ctx ends and all callers have returned.
+// Run generates load until ctx ends, and returns when all callers have returned.
 func (e *Environment) Run(ctx context.Context) {
 	e.demo.startLoad(ctx)
-	ticker := time.NewTicker(checkPeriod)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		e.updateTargets()
@@ -120,18 +121,18 @@
 func (e *Environment) updateTargets() {
 	f := e.demo.fleet
 	for _, i := range e.instances {
-		up := acceptsConnections(i.Request)
+		reachable := acceptsConnections(i.Request)
 		switch {
-		case up && !e.up[i.ID]:
+		case reachable && !e.reachable[i.ID]:
 			f.List.Add(carawaycart.ListedInstance{ID: i.ID, Zone: i.Zone, PeerAddress: i.Peer})
 			f.Fabric.Add(i.ID, i.Fabric)
 			f.Requests.Add(standin.RequestTarget{ID: i.ID, Address: i.Request})
-		case !up && e.up[i.ID]:
+		case !reachable && e.reachable[i.ID]:
 			f.List.Remove(i.ID)
 			f.Fabric.Remove(i.ID)
 			f.Requests.Remove(i.ID)
 		}
-		e.up[i.ID] = up
+		e.reachable[i.ID] = reachable
 	}
 }
 
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	loopback      = "127.0.0.1:0"
-	listDelay     = time.Second
-	fabricDelay   = time.Second // time until the fabric detects a failed instance
-	meterInterval = time.Second
+	loopbackAnyPort = "127.0.0.1:0"
+	listDelay       = time.Second // time until the instance list shows a change
+	fabricDelay     = time.Second // time until the fabric detects a failed instance
+	meterInterval   = time.Second // time between measurements of control traffic
 )
 
 // Fleet is a set of instances that share an emulated platform and a set of
@@ -28,21 +28,21 @@
 	List     *standin.List
 	Fabric   *standin.Fabric
 	Ledger   *standin.Ledger
-	Requests *standin.RequestCaller
+	Requests *standin.RequestCaller // sends the keyed requests
 
 	mu        sync.Mutex
 	instances map[carawaycart.InstanceID]*balancer.Balancer
 	endpoints map[carawaycart.EndpointID]*standin.Host
-	meters    map[carawaycart.InstanceID]*meter
+	meters    map[carawaycart.InstanceID]*meter // including those of ended instances
 }
 
 // meter measures the control traffic that one instance sends.
 type meter struct {
-	since    time.Time
-	baseline int64 // bytes sent before the measurement
-	bytes    int64
-	peak     float64
-	last     int64
+	start         time.Time
+	baselineBytes int64   // bytes sent before start
+	bytes         int64   // bytes sent so far, including baselineBytes
+	peak          float64 // highest rate within one meterInterval, in bytes per second
+	lastBytes     int64   // value of bytes at the previous measurement
 }
 
 // NewFleet returns a fleet without instances or endpoints. Its keyed requests are
@@ -55,13 +55,13 @@
 		meters:    make(map[carawaycart.InstanceID]*meter),
 	}
 	var err error
-	if f.Store, err = standin.NewStore(loopback); err != nil {
+	if f.Store, err = standin.NewStore(loopbackAnyPort); err != nil {
 		return nil, err
 	}
-	if f.List, err = standin.NewList(loopback, listDelay); err != nil {
+	if f.List, err = standin.NewList(loopbackAnyPort, listDelay); err != nil {
 		return nil, err
 	}
-	if f.Fabric, err = standin.NewFabric(loopback, seed); err != nil {
+	if f.Fabric, err = standin.NewFabric(loopbackAnyPort, seed); err != nil {
 		return nil, err
 	}
 	f.Requests = standin.NewRequestCaller(service, f.Ledger, seed)
@@ -70,7 +70,7 @@
 
 // AddEndpoint starts an endpoint.
 func (f *Fleet) AddEndpoint(c standin.EndpointConfig) (*standin.Host, error) {
-	h, err := standin.NewHost(c, loopback, f.Ledger, f.Fabric)
+	h, err := standin.NewHost(c, loopbackAnyPort, f.Ledger, f.Fabric)
 	if err != nil {
 		return nil, err
 	}
@@ -104,7 +104,7 @@
 
 // AddInstance starts an instance and adds it to the instance list.
 func (f *Fleet) AddInstance(id carawaycart.InstanceID, zone carawaycart.ZoneID) error {
-	address := netip.MustParseAddrPort(loopback)
+	address := netip.MustParseAddrPort(loopbackAnyPort)
 	s := settings.Settings{
 		ID: id, Zone: zone, Fabric: address, Request: address, Peer: address, Operator: address,
 		Store: f.Store.URL(), List: f.List.URL(), FabricThreads: 1,
@@ -119,13 +119,13 @@
 	}
 	f.mu.Lock()
 	f.instances[id] = b
-	f.meters[id] = &meter{since: time.Now()}
+	f.meters[id] = &meter{start: time.Now()}
 	f.mu.Unlock()
 	f.List.Add(carawaycart.ListedInstance{ID: id, Zone: zone, PeerAddress: b.PeerAddress()})
 	return nil
 }
 
-// EnableTraffic adds an instance to the targets of the fabric and of callers.
+// EnableTraffic adds a running instance to the targets of the fabric and of callers.
 func (f *Fleet) EnableTraffic(id carawaycart.InstanceID) {
 	f.mu.Lock()
 	b := f.instances[id]
@@ -156,8 +156,9 @@
 	return b
 }
 
-// Kill ends an instance without a planned stop. Callers and the instance list are
-// updated afterwards, the fabric only after fabricDelay.
+// Kill ends an instance without a planned stop. It then removes the instance from
+// the targets of callers and the instance list, and after fabricDelay from the
+// fabric.
 func (f *Fleet) Kill(id carawaycart.InstanceID) {
 	f.removeInstance(id).Kill()
 	f.Requests.Remove(id)
@@ -166,7 +167,8 @@
 }
 
 // Stop performs a planned stop of an instance. It removes the instance from the
-// fabric before the stop, and from the targets of callers after it.
+// instance list and the fabric before the stop. Callers send requests to it until
+// the end of the stop, and count those that the stop interrupts.
 func (f *Fleet) Stop(ctx context.Context, id carawaycart.InstanceID) error {
 	f.Requests.MarkStopping(id)
 	f.List.Remove(id)
@@ -177,12 +179,14 @@
 	return err
 }
 
-// AwaitReady waits until all instances are ready and have applied revision r.
+// AwaitReady waits until all instances are ready and have applied revision r. It
+// returns an error if ctx ends first.
 func (f *Fleet) AwaitReady(ctx context.Context, r carawaycart.Revision) error {
 	return f.await(ctx, func(b *balancer.Balancer) bool { return b.Ready() && b.Board.Revision() >= r })
 }
 
-// AwaitRevision waits until all instances have applied revision r.
+// AwaitRevision waits until all instances have applied revision r. It returns an
+// error if ctx ends first.
 func (f *Fleet) AwaitRevision(ctx context.Context, r carawaycart.Revision) error {
 	return f.await(ctx, func(b *balancer.Balancer) bool { return b.Board.Revision() >= r })
 }
@@ -214,7 +218,7 @@
 	f.mu.Lock()
 	for id, b := range f.instances {
 		sent := b.Counters.ControlBytes.Count()
-		f.meters[id] = &meter{since: time.Now(), baseline: sent, bytes: sent, last: sent}
+		f.meters[id] = &meter{start: time.Now(), baselineBytes: sent, bytes: sent, lastBytes: sent}
 	}
 	f.mu.Unlock()
 	ticker := time.NewTicker(meterInterval)
@@ -237,8 +241,8 @@
 func (f *Fleet) measureLocked(id carawaycart.InstanceID, b *balancer.Balancer) {
 	m := f.meters[id]
 	m.bytes = b.Counters.ControlBytes.Count()
-	m.peak = max(m.peak, float64(m.bytes-m.last)/meterInterval.Seconds())
-	m.last = m.bytes
+	m.peak = max(m.peak, float64(m.bytes-m.lastBytes)/meterInterval.Seconds())
+	m.lastBytes = m.bytes
 }
 
 // minMeasuredPeriod is the shortest period over which a mean rate is computed.
@@ -250,8 +254,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.meters {
-		if period := time.Since(m.since); period >= minMeasuredPeriod {
-			mean = max(mean, float64(m.bytes-m.baseline)/period.Seconds())
+		if period := time.Since(m.start); period >= minMeasuredPeriod {
+			mean = max(mean, float64(m.bytes-m.baselineBytes)/period.Seconds())
 		}
 		peak = max(peak, m.peak)
 	}
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -13,11 +13,12 @@
 // firstCallerPort is the lowest source port of callers.
 const firstCallerPort = 10000
 
-// callerAddress returns the address of caller i of a service. network is the last
-// octet of the first address and differs between services.
-func callerAddress(network byte, i int) netip.AddrPort {
-	const portsPerAddress = 50000
-	a := netip.AddrFrom4([4]byte{198, 51, 100, network + byte(i/portsPerAddress)})
+// callerAddress returns the address of the caller with zero-based index i of a
+// service. The addresses of its callers begin at 198.51.100.lastOctet, which differs
+// between services.
+func callerAddress(lastOctet byte, i int) netip.AddrPort {
+	const portsPerAddress = 50000 // with firstCallerPort, the ports remain below 65536
+	a := netip.AddrFrom4([4]byte{198, 51, 100, lastOctet + byte(i/portsPerAddress)})
 	return netip.AddrPortFrom(a, uint16(firstCallerPort+i%portsPerAddress))
 }
 
@@ -47,7 +48,7 @@
 	}
 }
 
-// runFeed reopens a feed whenever it ends, as a screen in a workshop does.
+// runFeed reopens a feed whenever it ends, as an unattended client does.
 func (d *Demo) runFeed(ctx context.Context, c *standin.FlowCaller) {
 	for ctx.Err() == nil {
 		c.Run(ctx)
@@ -58,7 +59,7 @@
 // the configured number of concurrent uploads.
 func (d *Demo) runUploads(ctx context.Context) {
 	next := 0
-	ticker := time.NewTicker(uploadLength / time.Duration(max(d.options.Uploads, 1)))
+	ticker := time.NewTicker(uploadDuration / time.Duration(max(d.options.Uploads, 1)))
 	defer ticker.Stop()
 	for {
 		select {
@@ -68,7 +69,7 @@
 		}
 		c := standin.NewFlowCaller(standin.FlowConfig{
 			Caller: callerAddress(100, next), Service: d.options.Site.Intake.Address,
-			Interval: uploadInterval, Deadline: time.Now().Add(uploadLength),
+			Interval: uploadInterval, Deadline: time.Now().Add(uploadDuration),
 		}, d.fleet.Fabric, d.fleet.Ledger, d.fleet.ZoneOf)
 		next++
 		d.callers.Go(func() { c.Run(ctx) })
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -18,19 +18,25 @@
 	Site      string `json:"site"`
 	Instances int    `json:"instances"`
 	standin.Totals
-	ImbalanceMaxOverMean     float64          `json:"imbalanceMaxOverMean"`
+	// ImbalanceMaxOverMean is the highest number of feeds of an endpoint of the main
+	// service over the mean.
+	ImbalanceMaxOverMean float64 `json:"imbalanceMaxOverMean"`
+	// ControlBytesPerSecondMax is the highest mean rate of control traffic of an
+	// instance, and ControlBytesPeakSecond the highest rate in one second.
 	ControlBytesPerSecondMax float64          `json:"controlBytesPerSecondMax"`
 	ControlBytesPeakSecond   float64          `json:"controlBytesPeakSecond"`
 	PeerBytesByCall          map[string]int64 `json:"peerBytesByCall"`
-	ConfigInForceSecondsMax  float64          `json:"configInForceSecondsMax"`
-	ConfigReverts            int              `json:"configReverts"`
-	StoreCallsPeakSecond     int64            `json:"storeCallsPeakSecond"`
-	SlotsDirtyAtEnd          int64            `json:"slotsDirtyAtEnd"`
-	ElapsedSeconds           float64          `json:"elapsedSeconds"`
+	// ConfigInForceSecondsMax is the longest time until all instances had applied an
+	// accepted change.
+	ConfigInForceSecondsMax float64 `json:"configInForceSecondsMax"`
+	ConfigReverts           int     `json:"configReverts"` // changes of an instance to an older revision
+	StoreCallsPeakSecond    int64   `json:"storeCallsPeakSecond"`
+	SlotsDirtyAtEnd         int64   `json:"slotsDirtyAtEnd"` // highest number of an instance
+	ElapsedSeconds          float64 `json:"elapsedSeconds"`
 }
 
-// maxInForceSeconds is the maximum time until all instances have applied an
-// accepted change.
+// maxInForceSeconds is the longest permitted time until all instances have applied
+// an accepted change.
 const maxInForceSeconds = 5
 
 // Breach is a guarantee that a run violated, and the observed value.
@@ -42,9 +48,9 @@
 // Breaches returns the guarantees that the run violated.
 func (r *Report) Breaches() []Breach {
 	var breaches []Breach
-	requireZero := func(n int, promise string) {
+	requireZero := func(n int, guarantee string) {
 		if n != 0 {
-			breaches = append(breaches, Breach{Promise: promise, Seen: fmt.Sprintf("%d", n)})
+			breaches = append(breaches, Breach{Promise: guarantee, Seen: fmt.Sprintf("%d", n)})
 		}
 	}
 	requireZero(r.FlowsBroken, "an established flow survives any planned change")
--- a/internal/demo/script.go
+++ b/internal/demo/script.go
@@ -36,7 +36,7 @@
 }
 
 // awaitSteadyState waits until the feeds are open and records how evenly they are
-// spread over the endpoints of the main service.
+// distributed over the endpoints of the main service.
 func (d *Demo) awaitSteadyState(ctx context.Context) error {
 	if err := pause(ctx, rampPeriod+2*time.Second); err != nil {
 		return err
@@ -66,6 +66,7 @@
 // randomInt returns a random number in [0, n).
 func (d *Demo) randomInt(n int) int { return d.random.IntN(n) }
 
+// drain marks one of the first four endpoints of the main service as leaving.
 func (d *Demo) drain(ctx context.Context) error {
 	id := d.endpointID(d.randomInt(4))
 	err := d.applyChange(ctx, "endpoint "+string(id)+" is leaving", func() (carawaycart.Change, error) {
@@ -97,6 +98,8 @@
 	return pause(ctx, 2*time.Second)
 }
 
+// setEndpointCold makes one of the endpoints 4 to 7 of the main service cold, counted
+// from zero. These differ from the endpoints of which drain marks one as leaving.
 func (d *Demo) setEndpointCold(ctx context.Context) error {
 	id := d.endpointID(4 + d.randomInt(4))
 	d.fleet.Endpoints()[id].SetCold(coldPeriod)
@@ -104,11 +107,12 @@
 	return pause(ctx, 2*time.Second)
 }
 
-// evacuatedZone returns the zone that the script takes out.
+// evacuatedZone returns the zone that the script takes out of service.
 func (d *Demo) evacuatedZone() carawaycart.ZoneID {
 	return d.options.Site.Zones[len(d.options.Site.Zones)-1]
 }
 
+// zoneOut takes the evacuated zone out of service.
 func (d *Demo) zoneOut(ctx context.Context) error {
 	z := d.evacuatedZone()
 	err := d.applyChange(ctx, "zone "+string(z)+" is taken out", func() (carawaycart.Change, error) {
@@ -121,8 +125,8 @@
 	return pause(ctx, 4*time.Second)
 }
 
-// storeOutage kills an instance during an outage of the store and checks that a
-// configuration change fails with an error.
+// storeOutage kills an instance during an outage of the store, unless an earlier
+// step has, and checks that a configuration change fails with an error.
 func (d *Demo) storeOutage(ctx context.Context) error {
 	d.fleet.Store.SetDown(true)
 	d.printProgress("the store is down")
@@ -144,6 +148,7 @@
 	return nil
 }
 
+// zoneBack returns the evacuated zone to service.
 func (d *Demo) zoneBack(ctx context.Context) error {
 	z := d.evacuatedZone()
 	err := d.applyChange(ctx, "zone "+string(z)+" is brought back", func() (carawaycart.Change, error) {
@@ -159,6 +164,8 @@
 	return pause(ctx, time.Second)
 }
 
+// plannedStop performs a planned stop of the second instance of the third zone. It
+// does nothing if an earlier step has killed that instance.
 func (d *Demo) plannedStop(ctx context.Context) error {
 	z := d.options.Site.Zones[2]
 	for id := range d.fleet.Instances() {
@@ -166,9 +173,9 @@
 			continue
 		}
 		d.printProgress("planned stop of instance %s", id)
-		stop, cancel := context.WithTimeout(ctx, balancer.StopLimit)
+		stopCtx, cancel := context.WithTimeout(ctx, balancer.StopLimit)
 		defer cancel()
-		return d.fleet.Stop(stop, id)
+		return d.fleet.Stop(stopCtx, id)
 	}
 	return nil
 }
--- a/internal/demo/token.go
+++ b/internal/demo/token.go
@@ -14,16 +14,17 @@
 	"carawaycart/platform/standin"
 )
 
-// TokenOptions configures RunToken.
+// TokenOptions configures RunToken, which needs at least two zones, and in total
+// three endpoints and five instances.
 type TokenOptions struct {
-	Zones             int // number of availability zones
-	Endpoints         int // endpoints per zone
-	Instances         int // instances per zone
-	Feeds             int // long-lived flows per zone
-	RequestsPerSecond int // keyed requests per second and zone
-	Pause             time.Duration
-	Progress          io.Writer
-	Log               io.Writer // destination of the logs of all instances
+	Zones             int           // number of availability zones
+	Endpoints         int           // endpoints per zone
+	Instances         int           // instances per zone
+	Feeds             int           // long-lived flows per zone
+	RequestsPerSecond int           // keyed requests per second and zone
+	Pause             time.Duration // time between steps
+	Progress          io.Writer     // destination of the descriptions of the steps
+	Log               io.Writer     // destination of the logs of all instances
 }
 
 // DefaultTokenOptions returns the options of the demo, which discard all output.
@@ -37,16 +38,16 @@
 // tokenRun is the state of a RunToken call.
 type tokenRun struct {
 	*standin.Site
-	options  TokenOptions
-	machines []standin.Machine
-	edges    []*edge.Edge // by index in machines; nil while the instance is down
-	logs     []*eventlog.Log
+	options   TokenOptions
+	machines  []standin.Machine // the emulated machines on which the instances run
+	instances []*edge.Edge      // by index in machines; nil while the instance is down
+	logs      []*eventlog.Log   // by index in machines
 }
 
 // RunToken drives instances that forward packets carrying tokens, on an emulated
 // platform, through planned changes and failures. It returns a summary of the
 // events that endpoints and callers observed, and the violated guarantees.
-func RunToken(ctx context.Context, o TokenOptions) (summary string, broken []string, err error) {
+func RunToken(ctx context.Context, o TokenOptions) (summary string, violations []string, err error) {
 	site, err := standin.NewSite(o.Zones, o.Endpoints)
 	if err != nil {
 		return "", nil, err
@@ -60,7 +61,7 @@
 				return "", nil, err
 			}
 			r.machines = append(r.machines, m)
-			r.edges = append(r.edges, nil)
+			r.instances = append(r.instances, nil)
 			r.logs = append(r.logs, nil)
 			if err := r.startInstance(len(r.machines) - 1); err != nil {
 				return "", nil, err
@@ -90,6 +91,7 @@
 	run         func() error
 }
 
+// steps returns the steps of the demo in their order.
 func (r *tokenRun) steps() []tokenStep {
 	withoutError := func(f func()) func() error {
 		return func() error { f(); return nil }
@@ -105,7 +107,7 @@
 		{"an instance is killed", withoutError(func() { r.Disturb(); r.killInstance(0) })},
 		{"an endpoint becomes silent", withoutError(func() { r.Disturb(); r.Hosts[2].Set(standin.Dark) })},
 		{"the store stops responding, the killed instance is restarted", func() error {
-			r.Store.SetFault("", standin.FaultSilent)
+			r.Store.SetFault("", standin.FaultSilent) // for all instances
 			return r.startInstance(0)
 		}},
 		{"the store responds again, a new configuration is written", func() error {
@@ -114,15 +116,16 @@
 		}},
 		{"zone " + zone + " is taken out", withoutError(func() { r.Evacuate(zone, false) })},
 		{"an instance stops as planned", withoutError(func() {
-			r.edges[4].Stop()
+			r.instances[4].Stop()
 			r.logs[4].Close()
-			r.edges[4] = nil
+			r.instances[4] = nil
 		})},
 		{"zone " + zone + " is brought back", withoutError(func() { r.Evacuate(zone, true) })},
 	}
 }
 
-// startInstance starts instance i. The last instance is the seed of the others.
+// startInstance starts instance i. The last instance is the seed of the others. With
+// the token format the port of a seed is ignored.
 func (r *tokenRun) startInstance(i int) error {
 	m := r.machines[i]
 	text := r.Settings(m)
@@ -138,20 +141,20 @@
 		return err
 	}
 	r.logs[i] = eventlog.New(s.ID, r.options.Log)
-	r.edges[i], err = edge.New(s, sockets, r.logs[i])
+	r.instances[i], err = edge.New(s, sockets, r.logs[i])
 	return err
 }
 
 // killInstance ends instance i without a planned stop.
 func (r *tokenRun) killInstance(i int) {
-	r.edges[i].Close()
+	r.instances[i].Close()
 	r.logs[i].Close()
-	r.edges[i] = nil
+	r.instances[i] = nil
 }
 
 func (r *tokenRun) close() {
 	r.EndLoad()
-	for i, e := range r.edges {
+	for i, e := range r.instances {
 		if e != nil {
 			r.killInstance(i)
 		}
@@ -159,14 +162,15 @@
 	r.Close()
 }
 
-const awaitInterval = 20 * time.Millisecond
+// pollInterval is the time between checks of the condition of await.
+const pollInterval = 20 * time.Millisecond
 
 // await polls condition until it holds. It fails after 10 s or at the end of ctx.
 func (r *tokenRun) await(ctx context.Context, condition func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	for !condition() {
-		if err := pause(ctx, awaitInterval); err != nil {
+		if err := pause(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
