--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -3,5 +3,7 @@
 // emulators run inside the process that drives them, speak the real protocols
 // over loopback, and record the observed traffic in a Ledger.
 //
-// A keyed request is called an order in the totals and on the wire.
+// Flow callers open feeds, which are long-lived flows, or uploads, which are short
+// ones. Request callers send keyed requests, which are called orders in the totals
+// and on the wire.
 package standin
--- a/internal/standin/fabric.go
+++ b/internal/standin/fabric.go
@@ -19,11 +19,12 @@
 
 	mu        sync.Mutex
 	random    *rand.Rand
-	instances []target
+	instances []fabricTarget
 	callers   map[netip.AddrPort]func(reply)
 }
 
-type target struct {
+// fabricTarget is an instance to which the fabric sends packets.
+type fabricTarget struct {
 	id      carawaycart.InstanceID
 	address netip.AddrPort
 }
@@ -51,14 +52,14 @@
 func (f *Fabric) Add(id carawaycart.InstanceID, address netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.instances = append(f.instances, target{id: id, address: address})
+	f.instances = append(f.instances, fabricTarget{id: id, address: address})
 }
 
 // Remove stops the fabric from sending packets to an instance.
 func (f *Fabric) Remove(id carawaycart.InstanceID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	kept := make([]target, 0, len(f.instances))
+	kept := make([]fabricTarget, 0, len(f.instances))
 	for _, t := range f.instances {
 		if t.id != id {
 			kept = append(kept, t)
--- a/internal/standin/flowcaller.go
+++ b/internal/standin/flowcaller.go
@@ -12,9 +12,11 @@
 )
 
 const (
-	initialTimeout     = 400 * time.Millisecond // before the first retransmission of a segment
-	maxTimeout         = 1600 * time.Millisecond
-	maxSegmentAttempts = 9 // transmissions of a segment before its flow counts as broken
+	initialRetransmitTimeout = 400 * time.Millisecond // time before the first retransmission of a segment
+	maxRetransmitTimeout     = 1600 * time.Millisecond
+	// maxSegmentAttempts is the number of transmissions of a segment after which its
+	// flow counts as broken, or as not opened if the segment is a SYN.
+	maxSegmentAttempts = 9
 )
 
 // FlowConfig describes an emulated flow.
@@ -35,7 +37,7 @@
 
 	mu       sync.Mutex
 	replies  chan reply
-	endpoint carawaycart.EndpointID
+	endpoint carawaycart.EndpointID // empty while the flow is not open
 }
 
 // NewFlowCaller returns a caller whose flow is not open. The function zoneOf
@@ -77,10 +79,10 @@
 	}
 }
 
-func (c *FlowCaller) setEndpoint(h carawaycart.EndpointID) {
+func (c *FlowCaller) setEndpoint(id carawaycart.EndpointID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endpoint = h
+	c.endpoint = id
 }
 
 // stream sends data until the deadline of the flow or the end of ctx and then
@@ -100,6 +102,8 @@
 				return true
 			}
 		}
+		// The end of ctx does not interrupt a segment in progress, which would count the
+		// flow as broken.
 		s := Segment{ACK: true, Number: number, Payload: dataPayload(number)}
 		r, ok := c.exchange(context.WithoutCancel(ctx), s, func(r reply) bool { return r.number == number })
 		if !ok || r.endpoint != endpoint {
@@ -113,7 +117,7 @@
 // matches. It returns false on a reset, at the end of ctx, or after
 // maxSegmentAttempts transmissions.
 func (c *FlowCaller) exchange(ctx context.Context, s Segment, match func(reply) bool) (reply, bool) {
-	timeout := initialTimeout
+	timeout := initialRetransmitTimeout
 	for range maxSegmentAttempts {
 		c.send(s)
 		r, ok := c.awaitReply(ctx, timeout, match)
@@ -123,7 +127,7 @@
 		if ctx.Err() != nil {
 			return reply{}, false
 		}
-		timeout = min(2*timeout, maxTimeout)
+		timeout = min(2*timeout, maxRetransmitTimeout)
 	}
 	return reply{}, false
 }
@@ -157,8 +161,8 @@
 	c.fabric.Send(datagram)
 }
 
-// recordBroken counts a broken flow, separately if the zone of its endpoint has
-// been taken out.
+// recordBroken counts a broken flow, separately if the zone of its endpoint has been
+// taken out of service, even if the cutoff of the zone has not been reached.
 func (c *FlowCaller) recordBroken(endpoint carawaycart.EndpointID) {
 	hasCutoff := c.ledger.hasCutoff(string(c.zoneOf(endpoint)))
 	c.ledger.Update(func(t *Totals) {
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -19,10 +19,12 @@
 )
 
 const (
-	reportDelay        = 300 * time.Millisecond
-	reportInterval     = 100 * time.Millisecond
-	coldGrace          = 1500 * time.Millisecond // instances learn of a cold endpoint only with a delay
-	serviceTime        = 15 * time.Millisecond   // execution time of a request
+	reportDelay    = 300 * time.Millisecond // age of the load reports that an endpoint serves
+	reportInterval = 100 * time.Millisecond // time between samples of the load
+	// coldGrace is the time after which every instance must know that an endpoint is
+	// cold. Instances learn of it with a delay, from the load reports.
+	coldGrace          = 1500 * time.Millisecond
+	serviceTime        = 15 * time.Millisecond // execution time of a request
 	receiveBufferBytes = 2048
 )
 
@@ -41,22 +43,22 @@
 // Host emulates an endpoint of a service. It rejects flows and requests beyond
 // its limits, which are lower while it is cold.
 type Host struct {
-	config EndpointConfig
-	ledger *Ledger
-	fabric *Fabric
-	conn   *net.UDPConn
-	server *http.Server
-	http   net.Listener
+	config     EndpointConfig
+	ledger     *Ledger
+	fabric     *Fabric
+	packetConn *net.UDPConn
+	server     *http.Server
+	http       net.Listener // accepts requests
 
-	mu          sync.Mutex
-	flows       map[netip.AddrPort]bool // established flows by caller
-	coldSince   time.Time
-	coldUntil   time.Time
-	coldFlows   int
-	requests    int
-	reportsDown bool
-	reportHook  func(*carawaycart.Report)
-	reports     []timedReport
+	mu             sync.Mutex
+	flows          map[netip.AddrPort]bool // established flows by caller
+	coldSince      time.Time
+	coldUntil      time.Time
+	coldFlows      int // flows requested since coldSince, including those rejected for the cold limit
+	activeRequests int // requests in progress
+	reportsDown    bool
+	reportHook     func(*carawaycart.Report) // alters load reports; nil if unset
+	reports        []timedReport             // in order of time; the first is served
 
 	done sync.WaitGroup
 	quit chan struct{}
@@ -75,17 +77,17 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "resolve address of endpoint %s", c.ID)
 	}
-	conn, err := net.ListenUDP("udp", a)
+	packetConn, err := net.ListenUDP("udp", a)
 	if err != nil {
 		return nil, errors.Annotatef(err, "listen for endpoint %s", c.ID)
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		_ = conn.Close()
+		_ = packetConn.Close()
 		return nil, errors.Annotatef(err, "listen for endpoint %s", c.ID)
 	}
 	h := &Host{
-		config: c, ledger: l, fabric: f, conn: conn, http: listener,
+		config: c, ledger: l, fabric: f, packetConn: packetConn, http: listener,
 		flows: make(map[netip.AddrPort]bool), quit: make(chan struct{}),
 	}
 	mux := http.NewServeMux()
@@ -102,7 +104,7 @@
 func (h *Host) Endpoint() carawaycart.Endpoint {
 	return carawaycart.Endpoint{
 		ID: h.config.ID, Service: h.config.Service, Zone: h.config.Zone,
-		FlowAddress:    h.conn.LocalAddr().(*net.UDPAddr).AddrPort(),
+		FlowAddress:    h.packetConn.LocalAddr().(*net.UDPAddr).AddrPort(),
 		RequestAddress: h.http.Addr().(*net.TCPAddr).AddrPort(),
 		Flows:          h.config.Flows, Slots: h.config.Slots,
 	}
@@ -111,7 +113,7 @@
 // Close stops the endpoint and waits for its goroutines.
 func (h *Host) Close() {
 	close(h.quit)
-	_ = h.conn.Close()
+	_ = h.packetConn.Close()
 	_ = h.server.Close()
 	h.done.Wait()
 }
@@ -162,7 +164,7 @@
 	var d segmentDecoder
 	buffer := make([]byte, receiveBufferBytes)
 	for {
-		n, err := h.conn.Read(buffer)
+		n, err := h.packetConn.Read(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -244,7 +246,7 @@
 		case now := <-ticker.C:
 			h.mu.Lock()
 			h.reports = append(h.reports, timedReport{
-				report: carawaycart.Report{Flows: len(h.flows), Requests: h.requests, Cold: h.cold(now)},
+				report: carawaycart.Report{Flows: len(h.flows), Requests: h.activeRequests, Cold: h.cold(now)},
 				time:   now,
 			})
 			for len(h.reports) > 1 && now.Sub(h.reports[1].time) >= reportDelay {
@@ -255,7 +257,8 @@
 	}
 }
 
-// handleLoad serves the delayed load report.
+// handleLoad serves the delayed load report. Before the first sample the report has
+// no flows and requests.
 func (h *Host) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	h.mu.Lock()
 	reportsDown := h.reportsDown
@@ -274,8 +277,8 @@
 	writeJSON(w, report)
 }
 
-// RequestAnswer is the body of an endpoint's response to a request. Size is the
-// length of the request's body in bytes.
+// RequestAnswer is the body of an endpoint's response to a request. Host is the ID
+// of the endpoint, and Size the length of the request's body in bytes.
 type RequestAnswer struct {
 	Key  carawaycart.IdempotencyKey `json:"key"`
 	Host carawaycart.EndpointID     `json:"host"`
@@ -283,7 +286,8 @@
 }
 
 // handleRequest runs a request, or marks its response as not run if the endpoint
-// has no free slot or the caller's timeout is too short.
+// has no free slot or the caller's timeout is too short. A request for another
+// service is counted with the packets to a wrong service, and run.
 func (h *Host) handleRequest(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	if r.Host != string(h.config.Service) {
@@ -355,7 +359,7 @@
 	if h.cold(now) {
 		limit = min(limit, h.config.ColdRequests)
 	}
-	if h.requests >= limit {
+	if h.activeRequests >= limit {
 		overload := h.coldKnown(now)
 		h.ledger.Update(func(t *Totals) {
 			t.RequestsShed++
@@ -365,12 +369,12 @@
 		})
 		return false
 	}
-	h.requests++
+	h.activeRequests++
 	return true
 }
 
 func (h *Host) releaseSlot() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.requests--
+	h.activeRequests--
 }
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -10,37 +10,37 @@
 // Ledger counts the events that the emulated endpoints and callers observe. It is
 // safe for concurrent use.
 type Ledger struct {
-	mu      sync.Mutex
-	totals  Totals
-	runs    map[carawaycart.IdempotencyKey]int
-	cutoffs map[string]time.Time // by endpoint or zone: time from which it must receive no more work
+	mu        sync.Mutex
+	totals    Totals
+	runCounts map[carawaycart.IdempotencyKey]int // executions of keyed requests
+	cutoffs   map[string]time.Time               // by endpoint or zone: time from which it must receive no more work
 }
 
 // Totals are the event counts of a ledger. An order is a keyed request.
 type Totals struct {
 	FlowsOpened           int `json:"flowsOpened"`
-	FlowsBroken           int `json:"flowsBroken"`
-	FlowsGivenUpByZoneOut int `json:"flowsGivenUpByZoneOut"`
+	FlowsBroken           int `json:"flowsBroken"`           // reset, not acknowledged, or acknowledged by another endpoint
+	FlowsGivenUpByZoneOut int `json:"flowsGivenUpByZoneOut"` // broken while the zone of the endpoint was out of service
 	FlowsNotOpened        int `json:"flowsNotOpened"`
 	OrdersSent            int `json:"ordersSent"`
 	OrdersConfirmed       int `json:"ordersConfirmed"`
-	OrdersRefusedNotRun   int `json:"ordersRefusedNotRun"`
-	OrdersUnknown         int `json:"ordersUnknown"`
-	OrdersRunTwice        int `json:"ordersRunTwice"`
-	FalseRefusals         int `json:"falseRefusals"`
-	AnswersCrossed        int `json:"answersCrossed"`
+	OrdersRefusedNotRun   int `json:"ordersRefusedNotRun"` // not confirmed, without an attempt of unknown outcome
+	OrdersUnknown         int `json:"ordersUnknown"`       // not confirmed, with an attempt of unknown outcome
+	OrdersRunTwice        int `json:"ordersRunTwice"`      // run more than once
+	FalseRefusals         int `json:"falseRefusals"`       // counted in OrdersRefusedNotRun, but run
+	AnswersCrossed        int `json:"answersCrossed"`      // answers to another order
 	AnswersTruncated      int `json:"answersTruncated"`
-	PacketsToWrongService int `json:"packetsToWrongService"`
-	PacketsAfterZoneOut   int `json:"packetsAfterZoneOut"`
-	WorkAfterLeave        int `json:"workAfterLeave"`
-	ColdOverload          int `json:"coldOverload"`
-	RequestsCutByStop     int `json:"requestsCutByStop"`
-	RequestsShed          int `json:"requestsShed"`
+	PacketsToWrongService int `json:"packetsToWrongService"` // packets and requests
+	PacketsAfterZoneOut   int `json:"packetsAfterZoneOut"`   // packets and requests after the cutoff of the zone
+	WorkAfterLeave        int `json:"workAfterLeave"`        // flows and requests after the cutoff of the endpoint
+	ColdOverload          int `json:"coldOverload"`          // rejected by endpoints that instances must know to be cold
+	RequestsCutByStop     int `json:"requestsCutByStop"`     // connections broken during a planned stop of the instance
+	RequestsShed          int `json:"requestsShed"`          // rejected by endpoints without a free slot
 }
 
 // NewLedger returns a ledger whose totals are zero.
 func NewLedger() *Ledger {
-	return &Ledger{runs: make(map[carawaycart.IdempotencyKey]int), cutoffs: make(map[string]time.Time)}
+	return &Ledger{runCounts: make(map[carawaycart.IdempotencyKey]int), cutoffs: make(map[string]time.Time)}
 }
 
 // Update calls update with the totals while holding the ledger's lock.
@@ -61,8 +61,8 @@
 func (l *Ledger) recordRun(k carawaycart.IdempotencyKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs[k]++
-	if l.runs[k] == 2 {
+	l.runCounts[k]++
+	if l.runCounts[k] == 2 {
 		l.totals.OrdersRunTwice++
 	}
 }
@@ -71,7 +71,7 @@
 func (l *Ledger) Runs(k carawaycart.IdempotencyKey) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.runs[k]
+	return l.runCounts[k]
 }
 
 // SetCutoff sets the time from which the named endpoint or zone must receive no
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -15,28 +15,28 @@
 // fixed delay.
 type List struct {
 	mu      sync.Mutex
-	lag     time.Duration
+	delay   time.Duration
 	changes []listChange
 	server  *http.Server
 	url     string
 }
 
 // listChange records that an instance was added, or removed if removed is set.
-// It takes effect at the time visible.
+// It takes effect at visibleAt.
 type listChange struct {
-	instance carawaycart.ListedInstance
-	removed  bool
-	visible  time.Time
+	instance  carawaycart.ListedInstance
+	removed   bool
+	visibleAt time.Time
 }
 
 // NewList starts a list that listens on address, a host:port whose port may be 0,
-// and publishes each change after lag.
-func NewList(address string, lag time.Duration) (*List, error) {
+// and publishes each change after delay.
+func NewList(address string, delay time.Duration) (*List, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Annotate(err, "listen for instance list")
 	}
-	l := &List{lag: lag, url: "http://" + listener.Addr().String()}
+	l := &List{delay: delay, url: "http://" + listener.Addr().String()}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/instances", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, l.listed()) })
 	l.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
@@ -61,7 +61,7 @@
 func (l *List) change(i carawaycart.ListedInstance, removed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.changes = append(l.changes, listChange{instance: i, removed: removed, visible: time.Now().Add(l.lag)})
+	l.changes = append(l.changes, listChange{instance: i, removed: removed, visibleAt: time.Now().Add(l.delay)})
 }
 
 // listed returns the instances that are visible now.
@@ -71,7 +71,7 @@
 	now := time.Now()
 	instances := []carawaycart.ListedInstance{}
 	for _, c := range l.changes {
-		if now.Before(c.visible) {
+		if now.Before(c.visibleAt) {
 			continue
 		}
 		kept := instances[:0]
--- a/internal/standin/requestcaller.go
+++ b/internal/standin/requestcaller.go
@@ -20,8 +20,8 @@
 
 const (
 	maxRequestAttempts = 6
-	retryDelay         = 250 * time.Millisecond
-	requestTimeout     = 4 * time.Second
+	retryDelay         = 250 * time.Millisecond // time between attempts of a request
+	requestTimeout     = 4 * time.Second        // timeout of an attempt
 	scheme             = "http://"
 )
 
@@ -29,7 +29,7 @@
 type RequestTarget struct {
 	ID       carawaycart.InstanceID
 	Address  netip.AddrPort
-	stopping bool
+	stopping bool // a planned stop of the instance is about to begin or in progress
 }
 
 // RequestCaller emulates callers that send keyed requests to one service.
@@ -44,7 +44,7 @@
 }
 
 // NewRequestCaller returns a caller of service that has no targets. The seed
-// determines which targets it picks.
+// determines the choice of targets.
 func NewRequestCaller(service carawaycart.ServiceID, l *Ledger, seed uint64) *RequestCaller {
 	return &RequestCaller{
 		service: service, ledger: l, random: rand.New(rand.NewPCG(seed, seed+1)),
@@ -105,7 +105,8 @@
 }
 
 // Send sends the keyed request with key k, retries it until it is answered or
-// maxRequestAttempts is reached, and counts the outcome in the ledger.
+// maxRequestAttempts is reached, and counts the outcome in the ledger. An unanswered
+// request has an unknown outcome if that of any attempt was unknown.
 func (c *RequestCaller) Send(ctx context.Context, k carawaycart.IdempotencyKey) {
 	c.ledger.Update(func(t *Totals) { t.OrdersSent++ })
 	unknown := false
@@ -133,8 +134,10 @@
 	})
 }
 
-// attempt sends the keyed request once and returns the outcome as far as the
-// caller can tell.
+// attempt sends the keyed request once and returns its outcome. The request was not
+// run if it could not be sent or the connection was refused. Its outcome is unknown
+// if no whole response was received or the response is not a valid answer to it.
+// Otherwise the response states the outcome.
 func (c *RequestCaller) attempt(ctx context.Context, k carawaycart.IdempotencyKey) carawaycart.Outcome {
 	target, ok := c.pickTarget()
 	if !ok {
@@ -152,16 +155,16 @@
 		return carawaycart.OutcomeNotRun
 	}
 	if err != nil {
-		c.recordCut(target.ID)
+		c.recordInterruption(target.ID)
 		return carawaycart.OutcomeUnknown
 	}
 	defer func() { _ = response.Body.Close() }()
 	return c.readAnswer(response, target.ID, k)
 }
 
-// recordCut counts a broken connection to an instance if a planned stop of the
-// instance has begun.
-func (c *RequestCaller) recordCut(id carawaycart.InstanceID) {
+// recordInterruption counts a broken connection to an instance if the instance has
+// been marked as stopping.
+func (c *RequestCaller) recordInterruption(id carawaycart.InstanceID) {
 	if c.stopping(id) {
 		c.ledger.Update(func(t *Totals) { t.RequestsCutByStop++ })
 	}
@@ -172,7 +175,7 @@
 func (c *RequestCaller) readAnswer(response *http.Response, id carawaycart.InstanceID, k carawaycart.IdempotencyKey) carawaycart.Outcome {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		c.recordCut(id)
+		c.recordInterruption(id)
 		return carawaycart.OutcomeUnknown
 	}
 	outcome := carawaycart.Outcome(response.Header.Get(caller.OutcomeHeader))
--- a/internal/standin/segment.go
+++ b/internal/standin/segment.go
@@ -12,8 +12,8 @@
 	"carawaycart/io/fabric"
 )
 
-// geneveNetwork is the Geneve virtual network identifier of the emulated fabric.
-const geneveNetwork = 7
+// geneveNetworkID is the Geneve virtual network identifier of the emulated fabric.
+const geneveNetworkID = 7
 
 // Segment is a TCP segment of an emulated flow. Number identifies the data that
 // the segment carries or acknowledges and is sent as the TCP sequence number.
@@ -46,7 +46,7 @@
 	if err := gopacket.SerializeLayers(b, options, ip, tcp, gopacket.Payload(s.Payload)); err != nil {
 		return nil, errors.Annotate(err, "encode segment")
 	}
-	return fabric.Encode(b.Bytes(), geneveNetwork)
+	return fabric.Encode(b.Bytes(), geneveNetworkID)
 }
 
 // segmentDecoder decodes segments from Geneve datagrams. It is not safe for
@@ -87,9 +87,9 @@
 // passing an instance.
 type reply struct {
 	endpoint carawaycart.EndpointID
-	syn      bool
-	rst      bool
-	number   uint32
+	syn      bool   // the endpoint accepted the flow
+	rst      bool   // the endpoint rejected or does not know the flow
+	number   uint32 // Number of the acknowledged segment
 }
 
 // dataSegmentBytes is the payload size of a data segment.
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -13,9 +13,9 @@
 type Site struct {
 	Name      string
 	Zones     []carawaycart.ZoneID
-	Instances int
-	Main      SiteService
-	Intake    SiteService
+	Instances int         // number of instances in all zones
+	Main      SiteService // service of feeds and keyed requests
+	Intake    SiteService // service of uploads
 }
 
 // SiteService describes one service of a site.
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -20,9 +20,9 @@
 
 const (
 	storePrefix     = "/v1/kv/"
-	writesPerSecond = 400
-	readsPerSecond  = 2000
-	defaultWait     = 30 * time.Second // limit of a blocking read that names none
+	writesPerSecond = 400              // rate limit and burst size of writes
+	readsPerSecond  = 2000             // rate limit and burst size of reads
+	defaultWait     = 30 * time.Second // wait limit of a blocking read without a valid wait parameter
 )
 
 // Store emulates the platform's key-value service. Outages, delays and lost
@@ -30,21 +30,21 @@
 type Store struct {
 	mu          sync.Mutex
 	entries     map[string]carawaycart.StoreEntry
-	index       carawaycart.StoreIndex
-	changed     chan struct{} // closed and replaced on every write or change of down
+	index       carawaycart.StoreIndex // index of the latest write
+	changed     chan struct{}          // closed and replaced on every write or change of down
 	down        bool
 	delay       time.Duration
-	dropAnswers int // number of coming writes that are applied without a response
+	dropAnswers int // number of next writes that are applied without a response
 
-	calls         int64
-	currentSecond int64
-	callsInSecond int64
-	peakPerSecond int64
+	calls         int64 // total number of calls
+	currentSecond int64 // Unix time of the latest call, in seconds
+	callsInSecond int64 // calls in currentSecond
+	peakPerSecond int64 // highest number of calls in an earlier second
 
-	writes *rate.Limiter
-	reads  *rate.Limiter
-	server *http.Server
-	url    string
+	writeLimiter *rate.Limiter
+	readLimiter  *rate.Limiter
+	server       *http.Server
+	url          string
 }
 
 // NewStore starts an empty store that listens on address, a host:port whose port
@@ -55,15 +55,15 @@
 		return nil, errors.Annotate(err, "listen for store")
 	}
 	s := &Store{
-		entries: make(map[string]carawaycart.StoreEntry),
-		changed: make(chan struct{}),
-		writes:  rate.NewLimiter(writesPerSecond, writesPerSecond),
-		reads:   rate.NewLimiter(readsPerSecond, readsPerSecond),
-		url:     "http://" + listener.Addr().String(),
+		entries:      make(map[string]carawaycart.StoreEntry),
+		changed:      make(chan struct{}),
+		writeLimiter: rate.NewLimiter(writesPerSecond, writesPerSecond),
+		readLimiter:  rate.NewLimiter(readsPerSecond, readsPerSecond),
+		url:          "http://" + listener.Addr().String(),
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+storePrefix, s.get)
-	mux.HandleFunc("PUT "+storePrefix, s.put)
+	mux.HandleFunc("GET "+storePrefix, s.handleGet)
+	mux.HandleFunc("PUT "+storePrefix, s.handlePut)
 	s.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	go func() { _ = s.server.Serve(listener) }()
 	return s, nil
@@ -106,7 +106,7 @@
 	return s.calls, max(s.peakPerSecond, s.callsInSecond)
 }
 
-// notifyLocked wakes up all blocking reads. The caller holds s.mu.
+// notifyLocked wakes all blocking reads. The caller holds s.mu.
 func (s *Store) notifyLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -136,13 +136,15 @@
 	return true
 }
 
-func (s *Store) get(w http.ResponseWriter, r *http.Request) {
-	if !s.admit(w, s.reads) {
+// handleGet serves the entry of a key, for a blocking read once its index exceeds the
+// given one, or all entries with the key as prefix if recurse is set.
+func (s *Store) handleGet(w http.ResponseWriter, r *http.Request) {
+	if !s.admit(w, s.readLimiter) {
 		return
 	}
 	key := strings.TrimPrefix(r.URL.Path, storePrefix)
 	if r.FormValue("recurse") != "" {
-		s.list(w, key)
+		s.writeEntries(w, key)
 		return
 	}
 	if text := r.FormValue("index"); text != "" {
@@ -169,20 +171,20 @@
 // awaitChange blocks until the index of key exceeds index, the wait limit of r
 // passes or r is cancelled. It returns false if the store is down.
 func (s *Store) awaitChange(r *http.Request, key string, index carawaycart.StoreIndex) bool {
-	limit, err := time.ParseDuration(r.FormValue("wait"))
+	wait, err := time.ParseDuration(r.FormValue("wait"))
 	if err != nil {
-		limit = defaultWait
+		wait = defaultWait
 	}
-	timer := time.NewTimer(limit)
+	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		down, changed, held := s.down, s.changed, s.entries[key].Index
+		down, changed, current := s.down, s.changed, s.entries[key].Index
 		s.mu.Unlock()
 		if down {
 			return false
 		}
-		if held > index {
+		if current > index {
 			return true
 		}
 		select {
@@ -195,8 +197,8 @@
 	}
 }
 
-// list writes all entries whose keys start with prefix, sorted by key.
-func (s *Store) list(w http.ResponseWriter, prefix string) {
+// writeEntries writes all entries whose keys start with prefix, sorted by key.
+func (s *Store) writeEntries(w http.ResponseWriter, prefix string) {
 	s.mu.Lock()
 	found := []carawaycart.StoreEntry{}
 	for k, e := range s.entries {
@@ -209,8 +211,10 @@
 	writeJSON(w, found)
 }
 
-func (s *Store) put(w http.ResponseWriter, r *http.Request) {
-	if !s.admit(w, s.writes) {
+// handlePut stores a value if the index given as cas is current. It responds true if
+// the value was stored and false if the index is not current.
+func (s *Store) handlePut(w http.ResponseWriter, r *http.Request) {
+	if !s.admit(w, s.writeLimiter) {
 		return
 	}
 	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, platform.MaxValue))
@@ -223,8 +227,8 @@
 		http.Error(w, "cas", http.StatusBadRequest)
 		return
 	}
-	swapped, lost := s.compareAndSwap(strings.TrimPrefix(r.URL.Path, storePrefix), value, carawaycart.StoreIndex(index))
-	if lost {
+	swapped, dropAnswer := s.compareAndSwap(strings.TrimPrefix(r.URL.Path, storePrefix), value, carawaycart.StoreIndex(index))
+	if dropAnswer {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, swapped)
@@ -233,7 +237,7 @@
 // compareAndSwap stores value under key if the entry's current index equals
 // index; an absent entry has index 0. It reports whether it stored the value and
 // whether the response is to be dropped.
-func (s *Store) compareAndSwap(key string, value []byte, index carawaycart.StoreIndex) (swapped, lost bool) {
+func (s *Store) compareAndSwap(key string, value []byte, index carawaycart.StoreIndex) (swapped, dropAnswer bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.entries[key].Index != index {
