--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -11,13 +11,13 @@
 type mode int
 
 const (
-	modeForward mode = iota
-	modeDelay
-	modeReset        // connections are reset, datagrams dropped
-	modeDropRequests // traffic to the target is dropped
-	modeDropReplies  // traffic from the target is dropped
-	modeDropAll      // traffic in both directions is dropped
-	modeCount
+	modeForward      mode = iota
+	modeDelay             // traffic in both directions is delayed by proxyDelay
+	modeReset             // connections are reset, datagrams dropped
+	modeDropRequests      // traffic to the target is dropped
+	modeDropReplies       // traffic from the target is dropped
+	modeDropAll           // traffic in both directions is dropped
+	modeCount             // number of modes
 )
 
 // proxyDelay is the delay of each read or datagram in modeDelay.
@@ -27,13 +27,13 @@
 // of the target only.
 type proxy struct {
 	listener net.Listener
-	conn     *net.UDPConn
+	udpConn  *net.UDPConn
 	target   string
 	done     sync.WaitGroup
 
 	mu    sync.Mutex
 	mode  mode
-	conns map[net.Conn]bool
+	conns map[net.Conn]bool // open connections to callers and to the target
 }
 
 // newProxy starts a proxy that forwards traffic from listen to target.
@@ -43,7 +43,7 @@
 	if p.listener, err = net.Listen("tcp", listen.String()); err != nil {
 		return nil, err
 	}
-	if p.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen)); err != nil {
+	if p.udpConn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen)); err != nil {
 		return nil, err
 	}
 	p.done.Go(p.accept)
@@ -53,7 +53,7 @@
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	_ = p.conn.Close()
+	_ = p.udpConn.Close()
 	p.setMode(modeReset)
 	p.done.Wait()
 }
@@ -79,35 +79,37 @@
 	return p.mode
 }
 
-// track adds c to the open connections, or removes it if kept is false.
-func (p *proxy) track(c net.Conn, kept bool) {
+// track adds c to the open connections, or removes it if open is false.
+func (p *proxy) track(c net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if kept {
+	if open {
 		p.conns[c] = true
 	} else {
 		delete(p.conns, c)
 	}
 }
 
+// relayDatagrams forwards datagrams to target until the socket is closed.
 func (p *proxy) relayDatagrams(target *net.UDPAddr) {
 	buf := make([]byte, 2048)
 	for {
-		n, _, err := p.conn.ReadFromUDPAddrPort(buf)
+		n, _, err := p.udpConn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
 		data := append([]byte(nil), buf[:n]...)
 		switch p.currentMode() {
 		case modeForward, modeDropReplies:
-			_, _ = p.conn.WriteToUDP(data, target)
+			_, _ = p.udpConn.WriteToUDP(data, target)
 		case modeDelay:
-			time.AfterFunc(proxyDelay, func() { _, _ = p.conn.WriteToUDP(data, target) })
+			time.AfterFunc(proxyDelay, func() { _, _ = p.udpConn.WriteToUDP(data, target) })
 		default:
 		}
 	}
 }
 
+// accept forwards connections to the target until the listener is closed.
 func (p *proxy) accept() {
 	for {
 		client, err := p.listener.Accept()
@@ -132,9 +134,9 @@
 }
 
 // copyStream copies data from src to dst until either is closed. It discards the
-// data that it reads in modeDropAll or in the mode cut, which drops traffic in this
-// direction.
-func (p *proxy) copyStream(dst, src net.Conn, cut mode) {
+// data that it reads in modeDropAll or in dropMode, the mode that drops traffic in
+// this direction.
+func (p *proxy) copyStream(dst, src net.Conn, dropMode mode) {
 	defer func() {
 		_ = dst.Close()
 		_ = src.Close()
@@ -149,7 +151,7 @@
 		switch m := p.currentMode(); m {
 		case modeDelay:
 			time.Sleep(proxyDelay)
-		case modeDropAll, cut:
+		case modeDropAll, dropMode:
 			continue
 		}
 		if _, err := dst.Write(buf[:n]); err != nil {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -24,8 +24,8 @@
 	faults = flag.Int("faults", 40, "number of faults in a run of TestLong")
 )
 
-// regressions lists the seeds of runs that have failed, each with the cause of the
-// failure.
+// regressions lists the runs of TestRegressions: a short run for CI, and the seeds of
+// runs that have failed, each with the cause of the failure.
 var regressions = []struct {
 	seed   uint64
 	faults int
@@ -39,7 +39,7 @@
 	endpointsPerZone  = 4
 	instancesPerZone  = 2
 	feedsPerZone      = 4
-	requestsPerSecond = 15
+	requestsPerSecond = 15 // per zone
 	finalRequests     = 60 // requests that must all be answered after the last fault
 )
 
@@ -79,12 +79,12 @@
 
 // process is the operating system process of an instance.
 type process struct {
-	machine  standin.Machine
-	settings string
-	store    *proxy
-	command  *exec.Cmd
-	output   bytes.Buffer
-	ended    chan struct{}
+	machine      standin.Machine
+	settingsPath string
+	store        *proxy // between the instance and its store
+	command      *exec.Cmd
+	output       bytes.Buffer
+	ended        chan struct{} // closed when the process has exited
 }
 
 // run is the state of one run with a series of faults.
@@ -94,10 +94,10 @@
 	random          *rand.Rand
 	binary          string
 	processes       []*process
-	endpointProxies []*proxy // by index in Hosts
+	endpointProxies []*proxy // by index of the endpoint in the site
 	exits           sync.WaitGroup
 	mu              sync.Mutex // guards command and ended of all processes
-	events          []string
+	events          []string   // descriptions of the injected faults
 }
 
 // newRun starts a platform and its instances and waits until all instances are in
@@ -124,20 +124,20 @@
 	return r
 }
 
-// addInstance starts instance n of a zone behind a proxy to its store, which
-// listens on the port after the store's.
+// addInstance starts instance n of a zone. The instance reaches its store through a
+// proxy that listens on the port after the store's.
 func (r *run) addInstance(zone string, n int) {
 	m, err := r.AddMachine(zone, n)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	store := netip.MustParseAddrPort(strings.TrimPrefix(m.Store, "http://"))
-	p := &process{machine: m, settings: filepath.Join(r.t.TempDir(), m.Name+".ini")}
+	p := &process{machine: m, settingsPath: filepath.Join(r.t.TempDir(), m.Name+".ini")}
 	if p.store, err = newProxy(netip.AddrPortFrom(store.Addr(), store.Port()+1), store); err != nil {
 		r.t.Fatal(err)
 	}
 	m.Store = fmt.Sprintf("http://%s:%d", store.Addr(), store.Port()+1)
-	if err := os.WriteFile(p.settings, []byte(r.Settings(m)), 0o600); err != nil {
+	if err := os.WriteFile(p.settingsPath, []byte(r.Settings(m)), 0o600); err != nil {
 		r.t.Fatal(err)
 	}
 	r.processes = append(r.processes, p)
@@ -149,7 +149,7 @@
 func (r *run) startProcess(p *process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p.command = exec.Command(r.binary, "balancer", "-config", p.settings)
+	p.command = exec.Command(r.binary, "balancer", "-config", p.settingsPath)
 	p.command.Stderr = &p.output
 	if err := p.command.Start(); err != nil {
 		r.Ledger.Break("start %s: %v", p.machine.Name, err)
@@ -212,8 +212,8 @@
 	return s[max(len(s)-keep, 0):]
 }
 
-// await waits until condition holds. The time limit only ends a run that has
-// already failed.
+// await waits until condition holds. It ends the test after a time limit that only a
+// failed run reaches.
 func (r *run) await(what string, condition func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(40 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
@@ -223,15 +223,17 @@
 	}
 }
 
-// fault is a kind of fault. inject applies it to p or h, for about span, and
-// returns when it is over.
+// fault is a kind of fault. The function inject applies it to the process p or the
+// endpoint h, for about span, and returns when the fault is over.
 type fault struct {
 	name   string
 	inject func(r *run, p *process, h *standin.Host, span time.Duration)
 }
 
 // allFaults lists the kinds of faults. A seed selects faults by index, so that a
-// change of the order changes the series of every seed.
+// change of the order changes the series of every seed. Faults of the store exclude
+// standin.FaultStale, under which instances cannot keep all guarantees. A fault of a
+// path sets any mode of its proxy but modeForward.
 var allFaults = []fault{
 	{"kill", func(r *run, p *process, _ *standin.Host, span time.Duration) { r.restart(p, syscall.SIGKILL, span/4) }},
 	{"stop", func(r *run, p *process, _ *standin.Host, span time.Duration) { r.restart(p, syscall.SIGTERM, span/4) }},
@@ -293,17 +295,18 @@
 	}},
 }
 
-// plannedFaults names the faults during which the time bounds of guarantees remain
-// in force.
+// plannedFaults names the planned changes, during which the time limits of guarantees
+// remain in force.
 var plannedFaults = map[string]bool{"stop": true, "reload": true, "endpoint drains": true, "zone out": true, "configuration": true}
 
 // randomInt returns a random number in [0, n) for a fault in progress. Faults run
-// concurrently and cannot use r.random, which is not safe for concurrent use.
+// concurrently and cannot use r.random, which is not safe for concurrent use. The
+// number therefore does not depend on the seed of the run.
 func (r *run) randomInt(n int) int { return rand.IntN(n) }
 
-// injectFaults draws n faults, which overlap, and waits until all are over. It
-// skips a fault whose process or endpoint is subject to another fault. Faults of
-// the whole store or of a zone exclude only faults of the same kind.
+// injectFaults selects n random faults, which may overlap, and waits until all are
+// over. It skips a fault whose process or endpoint is subject to another fault.
+// Faults of the whole store or of a zone exclude only faults of the same kind.
 func (r *run) injectFaults(n int) {
 	var active sync.WaitGroup
 	inUse := make(map[any]bool)
@@ -353,7 +356,7 @@
 	active.Wait()
 }
 
-// suspendBoundsUntil suspends the time bounds of guarantees until stop is closed.
+// suspendBoundsUntil suspends the time limits of guarantees until stop is closed.
 func (r *run) suspendBoundsUntil(stop <-chan struct{}) {
 	for {
 		r.Disturb()
@@ -366,13 +369,13 @@
 	}
 }
 
-// checkRecovery ends a run. It fails the test unless all instances return to
-// rotation, the next finalRequests requests are answered, and no guarantee was
-// violated.
+// checkRecovery checks a run after its last fault and stops its load. It fails the
+// test unless all instances return to rotation, the next finalRequests requests are
+// answered, and no guarantee was violated.
 func (r *run) checkRecovery() {
 	r.t.Helper()
 	r.await("all instances are back in rotation", func() bool { return r.Routers.Ready() == len(r.processes) })
-	r.await("time bounds are in force again", r.Calm)
+	r.await("time limits are in force again", r.Calm)
 	total, unanswered := r.Ledger.Total(), r.Ledger.Total()-r.Ledger.Answered
 	r.await("requests are served again", func() bool { return r.Ledger.Total() >= total+finalRequests })
 	if now := r.Ledger.Total() - r.Ledger.Answered; now > unanswered {
@@ -393,7 +396,9 @@
 	r.checkRecovery()
 }
 
-// TestRegressions repeats the runs whose seeds have failed.
+// TestRegressions guards against violated guarantees, unanswered requests and
+// instances that do not return to rotation under overlapping faults. It repeats the
+// runs listed in regressions.
 func TestRegressions(t *testing.T) {
 	for _, c := range regressions {
 		t.Run(fmt.Sprint(c.seed), func(t *testing.T) {
@@ -403,8 +408,9 @@
 	}
 }
 
-// TestLong performs as many runs as the flag -runs says, by default none, with
-// consecutive seeds. It is started by hand.
+// TestLong searches for seeds whose runs fail in one of the ways that
+// TestRegressions guards against. It performs as many runs as the flag -runs says, by
+// default none, with consecutive seeds, and is started by hand.
 func TestLong(t *testing.T) {
 	first := *seed
 	if first == 0 {
