--- a/clock.go
+++ b/clock.go
@@ -15,16 +15,16 @@
 // Now returns the current wall-clock time.
 func (SystemClock) Now() time.Time { return time.Now() }
 
-// SteadyClock is a monotonic Clock: it never jumps, and it advances also while the
+// MonotonicClock is a monotonic Clock: it never jumps, and it advances also while the
 // machine is suspended. Only the differences between its times are meaningful.
-type SteadyClock struct{}
+type MonotonicClock struct{}
 
-// NewSteadyClock returns a SteadyClock.
-func NewSteadyClock() SteadyClock { return SteadyClock{} }
+// NewMonotonicClock returns a SteadyClock.
+func NewMonotonicClock() MonotonicClock { return MonotonicClock{} }
 
 // Now returns the Unix epoch plus the time since boot, or the wall-clock time if
 // the boot-time clock cannot be read.
-func (SteadyClock) Now() time.Time {
+func (MonotonicClock) Now() time.Time {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return time.Now()
--- a/cmd/carawaycart/balancer.go
+++ b/cmd/carawaycart/balancer.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	<-ctx.Done()
-	stopCtx, cancel := context.WithTimeout(context.Background(), balancer.StopLimit)
+	stopCtx, cancel := context.WithTimeout(context.Background(), balancer.StopTimeout)
 	defer cancel()
 	return b.Stop(stopCtx)
 }
@@ -70,7 +70,7 @@
 	signal.Notify(hangup, syscall.SIGHUP)
 	log := eventlog.New(s.ID, os.Stdout)
 	defer log.Close()
-	sockets, err := edge.Open(s)
+	sockets, err := edge.OpenSockets(s)
 	if err != nil {
 		return err
 	}
--- a/cmd/carawaycart/demo.go
+++ b/cmd/carawaycart/demo.go
@@ -92,9 +92,9 @@
 			return err
 		}
 	}
-	violations := r.Breaches()
+	violations := r.Violations()
 	for _, v := range violations {
-		_, _ = fmt.Fprintf(stdout, "BROKEN PROMISE: %s (seen: %s)\n", v.Promise, v.Seen)
+		_, _ = fmt.Fprintf(stdout, "BROKEN PROMISE: %s (seen: %s)\n", v.Guarantee, v.Observed)
 	}
 	if len(violations) > 0 {
 		return errors.Errorf("%d promises were not held", len(violations))
--- a/cmd/carawaycart/objects.go
+++ b/cmd/carawaycart/objects.go
@@ -63,7 +63,7 @@
 				}
 				return list(s, c.Endpoints, "ENDPOINT\tSERVICE\tZONE\tFLOW ADDRESS\tREQUEST ADDRESS\tFLOWS\tSLOTS\tMARK",
 					func(e carawaycart.Endpoint) []any {
-						return []any{e.ID, e.Service, e.Zone, e.FlowAddress, e.RequestAddress, e.Flows, e.Slots, e.Mark}
+						return []any{e.ID, e.Service, e.Zone, e.FlowAddress, e.RequestAddress, e.MaxFlows, e.RequestSlots, e.Mark}
 					})
 			}),
 		newShowCommand(stdout, stderr, carawaycart.KindEndpoint),
@@ -71,7 +71,7 @@
 		newDeleteCommand(stdout, stderr, carawaycart.KindEndpoint),
 		newStoreCommand(stdout, stderr, "leave", "carawaycart endpoint leave ENDPOINT", "Mark an endpoint as leaving, so that it receives no new flows or requests.", 1,
 			func(ctx context.Context, s *session, args []string) error {
-				return s.printChange(s.admin.Leave(ctx, carawaycart.EndpointID(args[0])))
+				return s.printChange(s.admin.MarkLeaving(ctx, carawaycart.EndpointID(args[0])))
 			}),
 		newStoreCommand(stdout, stderr, "stay", "carawaycart endpoint stay ENDPOINT", "Remove the mark of an endpoint.", 1,
 			func(ctx context.Context, s *session, args []string) error {
@@ -97,11 +97,11 @@
 			}),
 		newStoreCommand(stdout, stderr, "out", "carawaycart zone out ZONE", "Take an availability zone out of service.", 1,
 			func(ctx context.Context, s *session, args []string) error {
-				return s.printChange(s.admin.SetZone(ctx, carawaycart.ZoneID(args[0]), true))
+				return s.printChange(s.admin.SetZoneOut(ctx, carawaycart.ZoneID(args[0]), true))
 			}),
 		newStoreCommand(stdout, stderr, "in", "carawaycart zone in ZONE", "Bring an availability zone back into service.", 1,
 			func(ctx context.Context, s *session, args []string) error {
-				return s.printChange(s.admin.SetZone(ctx, carawaycart.ZoneID(args[0]), false))
+				return s.printChange(s.admin.SetZoneOut(ctx, carawaycart.ZoneID(args[0]), false))
 			}),
 	)
 }
--- a/cmd/carawaycart/operator.go
+++ b/cmd/carawaycart/operator.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	data, err := c.Current(kind, name)
+	data, err := c.EncodedObject(kind, name)
 	if err != nil {
 		return err
 	}
@@ -196,7 +196,7 @@
 	if err != nil {
 		return err
 	}
-	current, err := c.Current(kind, name)
+	current, err := c.EncodedObject(kind, name)
 	if err != nil {
 		return err
 	}
--- a/config.go
+++ b/config.go
@@ -57,8 +57,8 @@
 	Zone           ZoneID         `json:"zone"`
 	FlowAddress    netip.AddrPort `json:"flowAddress"`    // destination of forwarded packets
 	RequestAddress netip.AddrPort `json:"requestAddress"` // destination of HTTP requests, also those for load reports
-	Flows          int            `json:"flows"`          // maximum number of concurrent flows
-	Slots          int            `json:"slots"`          // maximum number of concurrent requests
+	MaxFlows       int            `json:"flows"`          // maximum number of concurrent flows
+	RequestSlots   int            `json:"slots"`          // maximum number of concurrent requests
 	Mark           EndpointMark   `json:"mark,omitempty"`
 	DrainDeadline  time.Time      `json:"drainDeadline,omitzero"` // time at which a leaving or drained endpoint ends; zero means none
 }
--- a/core/board/bench_test.go
+++ b/core/board/bench_test.go
@@ -40,10 +40,10 @@
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 6081)
 		bundle.Endpoints = append(bundle.Endpoints, carawaycart.Endpoint{
 			ID: carawaycart.EndpointID(fmt.Sprintf("endpoint-%d", i)), Service: service(i), Zone: zone(i),
-			FlowAddress: a, RequestAddress: a, Flows: 4200, Slots: 2,
+			FlowAddress: a, RequestAddress: a, MaxFlows: 4200, RequestSlots: 2,
 		})
 	}
-	return configtest.Put(tb, config.New(), carawaycart.KindBundle, "site", bundle)
+	return configtest.MustPut(tb, config.New(), carawaycart.KindBundle, "site", bundle)
 }
 
 // eachSize runs f as a benchmark for a configuration of each size.
--- a/core/board/board.go
+++ b/core/board/board.go
@@ -95,13 +95,13 @@
 	return 0
 }
 
-// StayAwake allows the instance to make decisions until deadline. An instance
+// AllowDecisionsUntil allows the instance to make decisions until deadline. An instance
 // whose process was paused past the deadline must first learn what changed in the
 // meantime and whether it was replaced.
-func (b *Board) StayAwake(deadline time.Time) { b.decideUntil.Store(deadline.UnixNano()) }
+func (b *Board) AllowDecisionsUntil(deadline time.Time) { b.decideUntil.Store(deadline.UnixNano()) }
 
-// Awake reports whether the instance may make decisions at now.
-func (b *Board) Awake(now time.Time) bool { return now.UnixNano() < b.decideUntil.Load() }
+// MayDecide reports whether the instance may make decisions at now.
+func (b *Board) MayDecide(now time.Time) bool { return now.UnixNano() < b.decideUntil.Load() }
 
 // Entry returns the entry of endpoint id and creates it on the first call.
 func (b *Board) Entry(id carawaycart.EndpointID) *Entry {
@@ -122,16 +122,16 @@
 	return e
 }
 
-// Keeps reports whether the instance is the keeper of e's endpoint in the current
+// IsKeeper reports whether the instance is the keeper of e's endpoint in the current
 // view of the fleet.
-func (b *Board) Keeps(e *Entry) bool { return e.Holders(b.Members()).Keeper == b.Self }
+func (b *Board) IsKeeper(e *Entry) bool { return e.Holders(b.Members()).Keeper == b.Self }
 
 // StatusDigest returns a hash of the statuses of all endpoints; boards with equal
 // statuses have equal digests.
 func (b *Board) StatusDigest() uint64 { return b.statusDigest.Load() }
 
-// Entries calls f for each entry, in no particular order and without a lock held.
-func (b *Board) Entries(f func(*Entry)) {
+// ForEachEntry calls f for each entry, in no particular order and without a lock held.
+func (b *Board) ForEachEntry(f func(*Entry)) {
 	for i := range b.shards {
 		s := &b.shards[i]
 		s.mu.RLock()
@@ -163,14 +163,14 @@
 	if v := b.View(); v != nil {
 		zones = v.Config.Zones
 	}
-	v := member.NewView(b.memberList, func(z carawaycart.ZoneID) member.Duty {
+	v := member.NewView(b.memberList, func(z carawaycart.ZoneID) member.Eligibility {
 		if zones[z].Out {
-			return member.DutyNone
+			return member.Ineligible
 		}
 		if _, ok := b.replicaOnlyUntil[z]; ok {
-			return member.DutyReplica
+			return member.ReplicaEligible
 		}
-		return member.DutyFull
+		return member.KeeperEligible
 	})
 	if old := b.members.Load(); old != nil {
 		v.SetPrevious(old)
@@ -335,7 +335,7 @@
 func (r *ServiceRoute) carryActivity(old *baseActivity) {
 	n := r.Latest().Len()
 	switch {
-	case r.Latest().Dirty() == 0:
+	case r.Latest().DirtyCount() == 0:
 	case old != nil && len(old.lastBaseUse) == n:
 		r.baseActivity = old
 	default:
--- a/core/board/board_test.go
+++ b/core/board/board_test.go
@@ -25,7 +25,7 @@
 	old := b.View().Service(serviceAddress()).Active
 	e := c.Endpoints["endpoint-0"]
 	e.Mark = carawaycart.MarkLeaving
-	b.SetConfig(configtest.Put(t, c, carawaycart.KindEndpoint, "endpoint-0", e), start)
+	b.SetConfig(configtest.MustPut(t, c, carawaycart.KindEndpoint, "endpoint-0", e), start)
 	var movedFlow carawaycart.Fingerprint
 	for old.Slot(old.Index(movedFlow)).Current.ID != "endpoint-0" {
 		movedFlow++
@@ -54,7 +54,7 @@
 func TestSetConfigRejectsOlderRevision(t *testing.T) {
 	b := board.New("i1")
 	c := newConfig(t, configSize{1, 4})
-	n := configtest.Put(t, c, carawaycart.KindZone, "zone-0", carawaycart.Zone{ID: "zone-0", Out: true})
+	n := configtest.MustPut(t, c, carawaycart.KindZone, "zone-0", carawaycart.Zone{ID: "zone-0", Out: true})
 	b.SetConfig(n, start)
 	for _, old := range []*config.Configuration{c, n} {
 		if b.SetConfig(old, start) {
@@ -82,15 +82,15 @@
 	b.SetMembers(members)
 	check := func(when string, ready, total int) {
 		t.Helper()
-		if v := b.Members(); len(v.Ready()) != ready || v.Len() != total {
-			t.Errorf("%s: got %d of %d instances that can be keeper, want %d of %d", when, len(v.Ready()), v.Len(), ready, total)
+		if v := b.Members(); len(v.KeeperCandidates()) != ready || v.Len() != total {
+			t.Errorf("%s: got %d of %d instances that can be keeper, want %d of %d", when, len(v.KeeperCandidates()), v.Len(), ready, total)
 		}
 	}
 	check("in service", 8, 8)
-	c = configtest.Put(t, c, carawaycart.KindZone, "zone-0", carawaycart.Zone{ID: "zone-0", Out: true})
+	c = configtest.MustPut(t, c, carawaycart.KindZone, "zone-0", carawaycart.Zone{ID: "zone-0", Out: true})
 	b.SetConfig(c, start)
 	check("out", 4, 4)
-	c = configtest.Put(t, c, carawaycart.KindZone, "zone-0", carawaycart.Zone{ID: "zone-0"})
+	c = configtest.MustPut(t, c, carawaycart.KindZone, "zone-0", carawaycart.Zone{ID: "zone-0"})
 	b.SetConfig(c, start)
 	check("returned", 4, 8)
 	b.Tick(start.Add(time.Second))
@@ -105,8 +105,8 @@
 	x, y := board.New("x"), board.New("y")
 	for i := range 5 {
 		id := carawaycart.EndpointID(fmt.Sprintf("e%d", i))
-		x.Entry(id).State("x", carawaycart.EndpointCold, true)
-		s, _ := x.Entry(id).State("x", carawaycart.EndpointOpen, false)
+		x.Entry(id).UpdateStatus("x", carawaycart.EndpointCold, true)
+		s, _ := x.Entry(id).UpdateStatus("x", carawaycart.EndpointOpen, false)
 		if x.StatusDigest() == y.StatusDigest() {
 			t.Fatalf("%s: got equal digests of different statuses", id)
 		}
@@ -120,7 +120,7 @@
 // A status that arrives late must not replace a newer one, and of two keepers that
 // issue the same version the same one must win everywhere.
 func TestNewerStatusWins(t *testing.T) {
-	status := func(v carawaycart.Version, keeper carawaycart.InstanceID, guarded bool) carawaycart.EndpointStatus {
+	status := func(v carawaycart.StatusVersion, keeper carawaycart.InstanceID, guarded bool) carawaycart.EndpointStatus {
 		return carawaycart.EndpointStatus{Endpoint: "e", Version: v, Keeper: keeper, Guarded: guarded}
 	}
 	for _, test := range []struct {
--- a/core/board/entry.go
+++ b/core/board/entry.go
@@ -22,7 +22,7 @@
 	endpoint    atomic.Pointer[carawaycart.Endpoint]
 	guarded     atomic.Bool
 	holders     atomic.Pointer[cachedHolders]
-	limiter     atomic.Pointer[limit.Gate]
+	limiter     atomic.Pointer[limit.Limiter]
 	keeperSince atomic.Int64 // Unix nanoseconds when the instance last began to act as keeper; zero if never
 
 	mu     sync.Mutex
@@ -67,23 +67,23 @@
 	return &c.holders
 }
 
-// Gate returns the admission limiter of the endpoint, or nil if the instance does
+// Limiter returns the admission limiter of the endpoint, or nil if the instance does
 // not act as its keeper.
-func (e *Entry) Gate() *limit.Gate { return e.limiter.Load() }
+func (e *Entry) Limiter() *limit.Limiter { return e.limiter.Load() }
 
-// OpenGate makes the instance act as the endpoint's keeper from now on, with
+// SetLimiter makes the instance act as the endpoint's keeper from now on, with
 // admission limiter l.
-func (e *Entry) OpenGate(l *limit.Gate, now time.Time) {
+func (e *Entry) SetLimiter(l *limit.Limiter, now time.Time) {
 	e.keeperSince.Store(now.UnixNano())
 	e.limiter.Store(l)
 }
 
-// CloseGate makes the instance stop acting as the endpoint's keeper.
-func (e *Entry) CloseGate() { e.limiter.Store(nil) }
+// ClearLimiter makes the instance stop acting as the endpoint's keeper.
+func (e *Entry) ClearLimiter() { e.limiter.Store(nil) }
 
-// KeptSince returns when the instance last began to act as the endpoint's keeper,
+// KeeperSince returns when the instance last began to act as the endpoint's keeper,
 // or the Unix epoch if it never did.
-func (e *Entry) KeptSince() time.Time { return time.Unix(0, e.keeperSince.Load()) }
+func (e *Entry) KeeperSince() time.Time { return time.Unix(0, e.keeperSince.Load()) }
 
 // Status returns the latest status of the endpoint.
 func (e *Entry) Status() carawaycart.EndpointStatus {
@@ -125,10 +125,10 @@
 	return xxhash.Sum64(b[:])
 }
 
-// State stores a status with the next version and returns it and true. If keeper,
+// UpdateStatus stores a status with the next version and returns it and true. If keeper,
 // state and guarded are those of the stored status, it returns that and false. The
 // first status has version 1.
-func (e *Entry) State(keeper carawaycart.InstanceID, state carawaycart.EndpointState, guarded bool) (carawaycart.EndpointStatus, bool) {
+func (e *Entry) UpdateStatus(keeper carawaycart.InstanceID, state carawaycart.EndpointState, guarded bool) (carawaycart.EndpointStatus, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := carawaycart.EndpointStatus{
--- a/core/board/route.go
+++ b/core/board/route.go
@@ -37,17 +37,17 @@
 	return Slot{Base: t.entry(t.slots.Base[i]), Current: t.entry(t.slots.Current[i])}
 }
 
-// Since returns when the table arrived, or the zero time for the first table of a
+// ArrivedAt returns when the table arrived, or the zero time for the first table of a
 // service.
-func (t *Table) Since() time.Time { return t.arrivedAt }
+func (t *Table) ArrivedAt() time.Time { return t.arrivedAt }
 
 // Entries returns the entries of the endpoints that are the base or current of a
 // slot; the slice must not be modified.
 func (t *Table) Entries() []*Entry { return t.entries }
 
-// Dirty returns the number of slots whose base differs from their current
+// DirtyCount returns the number of slots whose base differs from their current
 // endpoint.
-func (t *Table) Dirty() int { return slot.Dirty(t.slots) }
+func (t *Table) DirtyCount() int { return slot.DirtyCount(t.slots) }
 
 // entry returns the entry of the endpoint with index m, or nil for NoMember.
 func (t *Table) entry(m uint16) *Entry {
@@ -98,19 +98,19 @@
 	return stable, baseStable
 }
 
-// NoteBase records that at now a packet of slot i was sent to its base without a
+// RecordBaseUse records that at now a packet of slot i was sent to its base without a
 // record of its flow. It does nothing if the latest table has no dirty slot or no
 // slot i.
-func (r *ServiceRoute) NoteBase(i carawaycart.SlotIndex, now time.Time) {
+func (r *ServiceRoute) RecordBaseUse(i carawaycart.SlotIndex, now time.Time) {
 	if r.baseActivity != nil && int(i) < len(r.baseActivity.lastBaseUse) {
 		r.baseActivity.lastBaseUse[i].Store(uint32(now.Unix()))
 	}
 }
 
-// BaseSeen returns when a packet of slot i was last sent to its base without a
+// BaseLastUsed returns when a packet of slot i was last sent to its base without a
 // record of its flow, or when the latest table arrived if that is later or there
 // was no such packet.
-func (r *ServiceRoute) BaseSeen(i carawaycart.SlotIndex) time.Time {
+func (r *ServiceRoute) BaseLastUsed(i carawaycart.SlotIndex) time.Time {
 	arrivedAt := r.Latest().arrivedAt
 	if r.baseActivity == nil || int(i) >= len(r.baseActivity.lastBaseUse) {
 		return arrivedAt
--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -195,7 +195,7 @@
 		failed: make(map[*claim.Table]bool), now: start,
 	}
 	attempts := []*attemptState{{claim: attempt("a")}, {claim: attempt("b")}, {claim: attempt("c")}}
-	attempts[1].claim.Entry = "i2"
+	attempts[1].claim.EntryInstance = "i2"
 	attempts[1].replicaIsKeeper = choices.choose(2) == 1
 	for {
 		var steps []func()
--- a/core/claim/table.go
+++ b/core/claim/table.go
@@ -167,15 +167,15 @@
 	return dst
 }
 
-// Abandon sets the state of the pending claims of entry instances for which failed
+// MarkPendingUnknown sets the state of the pending claims of entry instances for which failed
 // returns true to unknown, because such an instance may have sent the request to an
 // endpoint before it failed.
-func (t *Table) Abandon(failed func(carawaycart.InstanceID) bool) {
+func (t *Table) MarkPendingUnknown(failed func(carawaycart.InstanceID) bool) {
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
 		for k, c := range s.claims {
-			if c.State == carawaycart.ClaimPending && failed(c.Entry) {
+			if c.State == carawaycart.ClaimPending && failed(c.EntryInstance) {
 				c.State = carawaycart.ClaimUnknown
 				s.claims[k] = c
 			}
@@ -220,11 +220,11 @@
 	return n
 }
 
-// NoteLoss records that the lost instances, members of the view before, failed
+// RecordLoss records that the lost instances, members of the view before, failed
 // before their claims could be replicated again. Until the given time, Begin
 // returns Uncertain for a key of which all holders were lost, unless it finds a
 // claim that has not expired.
-func (t *Table) NoteLoss(before *member.View, lost []carawaycart.InstanceID, until time.Time) {
+func (t *Table) RecordLoss(before *member.View, lost []carawaycart.InstanceID, until time.Time) {
 	l := loss{before: before, lost: make(map[carawaycart.InstanceID]struct{}, len(lost)), until: until}
 	for _, id := range lost {
 		l.lost[id] = struct{}{}
@@ -253,7 +253,7 @@
 	if _, ok := l.lost[h.Keeper]; !ok {
 		return false
 	}
-	for _, id := range h.Replicas[:h.Count] {
+	for _, id := range h.Replicas[:h.ReplicaCount] {
 		if _, ok := l.lost[id]; !ok {
 			return false
 		}
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -17,7 +17,7 @@
 // instance i1.
 func attempt(id string) carawaycart.Claim {
 	return carawaycart.Claim{
-		Key: "k", Service: "desk", Digest: 1, Attempt: carawaycart.AttemptID(id), Entry: "i1", Deadline: start.Add(time.Hour),
+		Key: "k", Service: "desk", Digest: 1, Attempt: carawaycart.AttemptID(id), EntryInstance: "i1", Deadline: start.Add(time.Hour),
 	}
 }
 
@@ -104,7 +104,7 @@
 func TestPendingClaimOfFailedInstanceIsUnknown(t *testing.T) {
 	table := claim.NewTable()
 	table.Begin(attempt("a"), start)
-	table.Abandon(func(id carawaycart.InstanceID) bool { return id == "i1" })
+	table.MarkPendingUnknown(func(id carawaycart.InstanceID) bool { return id == "i1" })
 	verdict, held := table.Begin(attempt("b"), start)
 	if verdict != claim.Known || held.State != carawaycart.ClaimUnknown {
 		t.Errorf("got verdict %d with state %d, want a known attempt with unknown outcome", verdict, held.State)
@@ -121,7 +121,7 @@
 			PeerAddress: netip.MustParseAddrPort("127.0.0.1:1"),
 		})
 	}
-	return member.NewView(all, func(carawaycart.ZoneID) member.Duty { return member.DutyFull })
+	return member.NewView(all, func(carawaycart.ZoneID) member.Eligibility { return member.KeeperEligible })
 }
 
 // Guards against running a request twice after all holders of its claim failed
@@ -130,14 +130,14 @@
 	before := view("a1", "a2", "b1", "b2", "c1", "c2")
 	lost := []carawaycart.InstanceID{"a1", "b1", "c1"}
 	table := claim.NewTable()
-	table.NoteLoss(before, lost, start.Add(time.Minute))
+	table.RecordLoss(before, lost, start.Add(time.Minute))
 	uncertain := 0
 	for i := range 500 {
 		c := attempt("a")
 		c.Key = carawaycart.IdempotencyKey(fmt.Sprintf("key-%d", i))
 		h := before.Holders(claim.Key(c.Key))
 		allLost := true
-		for _, id := range append([]carawaycart.InstanceID{h.Keeper}, h.Replicas[:h.Count]...) {
+		for _, id := range append([]carawaycart.InstanceID{h.Keeper}, h.Replicas[:h.ReplicaCount]...) {
 			allLost = allLost && (id == "a1" || id == "b1" || id == "c1")
 		}
 		want := claim.Run
--- a/core/config/apply.go
+++ b/core/config/apply.go
@@ -11,16 +11,16 @@
 	"carawaycart/core/slot"
 )
 
-// Settlement is the After value of a change of kind settle, whose Name is that of a
+// BaseReplacement is the After value of a change of kind settle, whose Name is that of a
 // service. It replaces bases that no longer own flows by the current endpoints of
 // their slots.
-type Settlement struct {
-	Moves []Move `json:"moves"`
+type BaseReplacement struct {
+	Moves []BaseMove `json:"moves"`
 }
 
-// Move replaces the base of the given slots by their current endpoint. Slots whose
+// BaseMove replaces the base of the given slots by their current endpoint. Slots whose
 // base or current endpoint differs from the given ones are ignored.
-type Move struct {
+type BaseMove struct {
 	Base    carawaycart.EndpointID  `json:"base"`
 	Current carawaycart.EndpointID  `json:"current"`
 	Slots   []carawaycart.SlotIndex `json:"slots"`
@@ -138,11 +138,11 @@
 	return c.applyObject(carawaycart.Change{Kind: kind, Name: name, After: after})
 }
 
-// Next returns the configuration that results from applying change to c. If Apply
-// rejects change, Next returns the objects of c with the revision and ID of change,
+// ApplyOrSkip returns the configuration that results from applying change to c. If Apply
+// rejects change, ApplyOrSkip returns the objects of c with the revision and ID of change,
 // and the error of Apply, so that all instances skip the change alike. It returns
 // nil and an error if the revision of change is not the next one.
-func (c *Configuration) Next(change carawaycart.Change) (*Configuration, error) {
+func (c *Configuration) ApplyOrSkip(change carawaycart.Change) (*Configuration, error) {
 	n, err := c.Apply(change)
 	if err == nil || change.Revision != c.Revision+1 {
 		return n, err
@@ -291,7 +291,7 @@
 }
 
 func (c *Configuration) applySettlement(change carawaycart.Change) error {
-	var s Settlement
+	var s BaseReplacement
 	if _, err := decode(change, &s); err != nil {
 		return err
 	}
@@ -315,15 +315,15 @@
 	endpointIDs := c.endpointIDs[id]
 	var candidates []slot.Candidate
 	for _, endpointID := range endpointIDs {
-		if c.Accepting(endpointID) {
-			candidates = append(candidates, slot.Candidate{ID: endpointID, Weight: c.Endpoints[endpointID].Flows})
+		if c.AcceptsNewWork(endpointID) {
+			candidates = append(candidates, slot.Candidate{ID: endpointID, Weight: c.Endpoints[endpointID].MaxFlows})
 		}
 	}
 	t := slot.Grow(slot.Clone(c.Slots[id]), slot.Count(len(endpointIDs)))
 	if len(candidates) == 0 {
-		c.Slots[id] = slot.Retain(t, c.Holding)
+		c.Slots[id] = slot.Retain(t, c.MayOwnFlows)
 		return
 	}
 	t = slot.Reassign(t, candidates)
-	c.Slots[id] = slot.ReplaceRemovedBases(t, func(e carawaycart.EndpointID) bool { return !c.Holding(e) })
+	c.Slots[id] = slot.ReplaceRemovedBases(t, func(e carawaycart.EndpointID) bool { return !c.MayOwnFlows(e) })
 }
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -90,24 +90,24 @@
 	return c.endpointIDs[id]
 }
 
-// Accepting reports whether endpoint id may receive new flows and requests: it
+// AcceptsNewWork reports whether endpoint id may receive new flows and requests: it
 // exists, has no mark, and its zone is not taken out.
-func (c *Configuration) Accepting(id carawaycart.EndpointID) bool {
+func (c *Configuration) AcceptsNewWork(id carawaycart.EndpointID) bool {
 	e, ok := c.Endpoints[id]
 	return ok && e.Mark == carawaycart.MarkNone && !c.Zones[e.Zone].Out
 }
 
-// Holding reports whether endpoint id may own flows: it exists, is not marked as
+// MayOwnFlows reports whether endpoint id may own flows: it exists, is not marked as
 // ended, and its zone is not taken out.
-func (c *Configuration) Holding(id carawaycart.EndpointID) bool {
+func (c *Configuration) MayOwnFlows(id carawaycart.EndpointID) bool {
 	e, ok := c.Endpoints[id]
 	return ok && e.Mark != carawaycart.MarkEnded && !c.Zones[e.Zone].Out
 }
 
-// Current returns the JSON encoding of the object of the given kind and name, or nil
+// EncodedObject returns the JSON encoding of the object of the given kind and name, or nil
 // if there is none. It returns nil for the kinds settle and bundle, which do not
 // name an object. The error is NotValid for an unknown kind.
-func (c *Configuration) Current(kind carawaycart.ObjectKind, name string) (json.RawMessage, error) {
+func (c *Configuration) EncodedObject(kind carawaycart.ObjectKind, name string) (json.RawMessage, error) {
 	var v any
 	var ok bool
 	switch kind {
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -24,7 +24,7 @@
 // endpoint returns an endpoint of service "desk".
 func endpoint(id carawaycart.EndpointID, zone carawaycart.ZoneID) carawaycart.Endpoint {
 	return carawaycart.Endpoint{
-		ID: id, Service: "desk", Zone: zone, FlowAddress: netip.MustParseAddrPort("10.0.0.1:6081"), Flows: 100, Slots: 2,
+		ID: id, Service: "desk", Zone: zone, FlowAddress: netip.MustParseAddrPort("10.0.0.1:6081"), MaxFlows: 100, RequestSlots: 2,
 	}
 }
 
@@ -149,11 +149,11 @@
 // it and continue at the next revision.
 func TestNextSkipsInvalidChange(t *testing.T) {
 	c := newTestConfig(t)
-	n, err := c.Next(carawaycart.Change{Revision: c.Revision + 1, Kind: "corrupt"})
+	n, err := c.ApplyOrSkip(carawaycart.Change{Revision: c.Revision + 1, Kind: "corrupt"})
 	if err == nil || n == nil || n.Revision != c.Revision+1 || len(n.Endpoints) != 4 {
 		t.Fatalf("got %v, %v; want an error and the unchanged objects at the next revision", n, err)
 	}
-	if n, err := c.Next(carawaycart.Change{Revision: c.Revision + 2, Kind: "corrupt"}); n != nil || err == nil {
+	if n, err := c.ApplyOrSkip(carawaycart.Change{Revision: c.Revision + 2, Kind: "corrupt"}); n != nil || err == nil {
 		t.Fatalf("revision gap: got %v, %v; want nil and an error", n, err)
 	}
 }
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -122,7 +122,7 @@
 		return errors.NotValidf("endpoint %s without flowAddress and requestAddress", e.ID)
 	}
 	return errors.Annotatef(validateRanges([]intRange{
-		{"flows", e.Flows, 1, maxCount},
-		{"slots", e.Slots, 0, maxCount},
+		{"flows", e.MaxFlows, 1, maxCount},
+		{"slots", e.RequestSlots, 0, maxCount},
 	}), "endpoint %s", e.ID)
 }
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -8,12 +8,12 @@
 )
 
 // Decoder decodes an item into a record; it returns an error for an invalid item.
-type Decoder func(carawaycart.StoreItem) (carawaycart.Record, error)
+type Decoder func(carawaycart.StoreItem) (carawaycart.DecodedItem, error)
 
 // entry is an item with its decoded record, which is empty for an invalid item.
 type entry struct {
-	item   carawaycart.StoreItem
-	record carawaycart.Record
+	item    carawaycart.StoreItem
+	decoded carawaycart.DecodedItem
 }
 
 // Directory is a replica of the store's items; it is not safe for concurrent use.
@@ -29,27 +29,27 @@
 	return &Directory{decode: decode, items: make(map[string]entry)}
 }
 
-// At returns the revision up to which the directory is complete, or zero before
+// Revision returns the revision up to which the directory is complete, or zero before
 // the first read or snapshot.
-func (d *Directory) At() carawaycart.StoreRevision { return d.revision }
+func (d *Directory) Revision() carawaycart.StoreRevision { return d.revision }
 
-// Refused returns the number of items received so far that could not be decoded.
-func (d *Directory) Refused() int { return d.decodeFailures }
+// DecodeFailures returns the number of items received so far that could not be decoded.
+func (d *Directory) DecodeFailures() int { return d.decodeFailures }
 
-// Difference is the set of changes between two revisions of the store.
-type Difference struct {
-	From, To carawaycart.StoreRevision
-	Items    []carawaycart.StoreItem // items written after From
-	Missing  []string                // keys of the items removed after From
+// Delta is the set of changes between two revisions of the store.
+type Delta struct {
+	From, To    carawaycart.StoreRevision
+	Items       []carawaycart.StoreItem // items written after From
+	RemovedKeys []string                // keys of the items removed after From
 }
 
 // Empty reports whether the delta changes no item.
-func (d *Difference) Empty() bool { return len(d.Items) == 0 && len(d.Missing) == 0 }
+func (d *Delta) Empty() bool { return len(d.Items) == 0 && len(d.RemovedKeys) == 0 }
 
-// Replace applies a full read of the store at a revision and returns the changes
+// ApplyRead applies a full read of the store at a revision and returns the changes
 // that it made. A read older than the directory is ignored, and its delta is empty.
-func (d *Directory) Replace(items []carawaycart.StoreItem, revision carawaycart.StoreRevision) Difference {
-	delta := Difference{From: d.revision, To: d.revision}
+func (d *Directory) ApplyRead(items []carawaycart.StoreItem, revision carawaycart.StoreRevision) Delta {
+	delta := Delta{From: d.revision, To: d.revision}
 	if revision < d.revision {
 		return delta
 	}
@@ -61,7 +61,7 @@
 			delta.Items = append(delta.Items, d.items[i.Key].item)
 		}
 	}
-	delta.Missing = d.removeAbsent(present, revision)
+	delta.RemovedKeys = d.removeAbsent(present, revision)
 	d.revision = revision
 	return delta
 }
@@ -81,14 +81,14 @@
 	return removed
 }
 
-// Apply applies a delta and reports whether the directory is now complete up to
+// ApplyDelta applies a delta and reports whether the directory is now complete up to
 // delta.To. It returns false and changes nothing if the directory is older
 // than delta.From.
 //
 // A delta omits items that were both written and removed between From and To, but
 // a directory newer than From may hold them. Its items that were written between
 // the two and are not in the delta are therefore removed.
-func (d *Directory) Apply(delta Difference) bool {
+func (d *Directory) ApplyDelta(delta Delta) bool {
 	switch {
 	case delta.To <= d.revision:
 		return true
@@ -100,7 +100,7 @@
 		written[i.Key] = struct{}{}
 		d.insert(i)
 	}
-	for _, key := range delta.Missing {
+	for _, key := range delta.RemovedKeys {
 		if e, ok := d.items[key]; ok && e.item.Revision <= delta.To {
 			delete(d.items, key)
 		}
@@ -116,20 +116,20 @@
 	return true
 }
 
-// Copy is a snapshot of a directory, reduced to what a peer needs whose own
+// Snapshot is a snapshot of a directory, reduced to what a peer needs whose own
 // directory is complete up to an earlier revision.
-type Copy struct {
-	At    carawaycart.StoreRevision // revision up to which the snapshot is complete
-	Items []carawaycart.StoreItem   // items written after the peer's revision
-	Keys  []string                  // keys of all items
-	Ended []carawaycart.LifetimeKey // recently ended lifetimes, which the store does not list
+type Snapshot struct {
+	Revision carawaycart.StoreRevision // revision up to which the snapshot is complete
+	Items    []carawaycart.StoreItem   // items written after the peer's revision
+	Keys     []string                  // keys of all items
+	Ended    []carawaycart.LifetimeKey // recently ended lifetimes, which the store does not list
 }
 
-// Since returns the snapshot for a peer whose directory is complete up to
+// SnapshotSince returns the snapshot for a peer whose directory is complete up to
 // revision r, with items and keys sorted by key. It leaves Ended to the caller,
 // because the directory does not know ended lifetimes.
-func (d *Directory) Since(r carawaycart.StoreRevision) Copy {
-	s := Copy{At: d.revision}
+func (d *Directory) SnapshotSince(r carawaycart.StoreRevision) Snapshot {
+	s := Snapshot{Revision: d.revision}
 	for key, e := range d.items {
 		s.Keys = append(s.Keys, key)
 		if e.item.Revision > r {
@@ -141,10 +141,10 @@
 	return s
 }
 
-// Adopt applies the items and keys of a peer's snapshot and reports whether the
+// ApplySnapshot applies the items and keys of a peer's snapshot and reports whether the
 // snapshot was newer than the directory; any other is ignored.
-func (d *Directory) Adopt(s Copy) bool {
-	if s.At <= d.revision {
+func (d *Directory) ApplySnapshot(s Snapshot) bool {
+	if s.Revision <= d.revision {
 		return false
 	}
 	for _, i := range s.Items {
@@ -154,8 +154,8 @@
 	for _, key := range s.Keys {
 		present[key] = struct{}{}
 	}
-	d.removeAbsent(present, s.At)
-	d.revision = s.At
+	d.removeAbsent(present, s.Revision)
+	d.revision = s.Revision
 	return true
 }
 
@@ -170,7 +170,7 @@
 	if err != nil {
 		d.decodeFailures++
 	}
-	d.items[i.Key] = entry{item: i, record: record}
+	d.items[i.Key] = entry{item: i, decoded: record}
 	return true
 }
 
@@ -202,7 +202,7 @@
 	c := Contents{Revisions: make(map[carawaycart.LifetimeKey]carawaycart.StoreRevision)}
 	for _, key := range keys {
 		e := d.items[key]
-		switch r := e.record; {
+		switch r := e.decoded; {
 		case r.Config != nil:
 			c.Config = r.Config
 		case r.ZoneOut != "":
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -16,11 +16,11 @@
 
 // decodeZone decodes each item as a zone that is out, named KEY=VALUE, and
 // rejects the value "bad".
-func decodeZone(i carawaycart.StoreItem) (carawaycart.Record, error) {
+func decodeZone(i carawaycart.StoreItem) (carawaycart.DecodedItem, error) {
 	if string(i.Value) == "bad" {
-		return carawaycart.Record{}, errors.New("bad")
+		return carawaycart.DecodedItem{}, errors.New("bad")
 	}
-	return carawaycart.Record{ZoneOut: carawaycart.ZoneID(i.Key + "=" + string(i.Value))}, nil
+	return carawaycart.DecodedItem{ZoneOut: carawaycart.ZoneID(i.Key + "=" + string(i.Value))}, nil
 }
 
 func item(key, value string, r carawaycart.StoreRevision) carawaycart.StoreItem {
@@ -31,10 +31,10 @@
 
 func TestReplaceReturnsDelta(t *testing.T) {
 	d := directory.New(decodeZone)
-	d.Replace([]carawaycart.StoreItem{item("a", "1", 3), item("b", "1", 4)}, 5)
-	got := d.Replace([]carawaycart.StoreItem{item("b", "2", 7), item("c", "1", 6)}, 8)
-	want := directory.Difference{
-		From: 5, To: 8, Items: []carawaycart.StoreItem{item("b", "2", 7), item("c", "1", 6)}, Missing: []string{"a"},
+	d.ApplyRead([]carawaycart.StoreItem{item("a", "1", 3), item("b", "1", 4)}, 5)
+	got := d.ApplyRead([]carawaycart.StoreItem{item("b", "2", 7), item("c", "1", 6)}, 8)
+	want := directory.Delta{
+		From: 5, To: 8, Items: []carawaycart.StoreItem{item("b", "2", 7), item("c", "1", 6)}, RemovedKeys: []string{"a"},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got delta %+v, want %+v", got, want)
@@ -47,8 +47,8 @@
 // A read that is answered late must not restore items that a later read removed.
 func TestReplaceIgnoresOlderRead(t *testing.T) {
 	d := directory.New(decodeZone)
-	d.Replace([]carawaycart.StoreItem{item("a", "2", 9)}, 10)
-	if delta := d.Replace([]carawaycart.StoreItem{item("a", "1", 3), item("b", "1", 4)}, 5); !delta.Empty() {
+	d.ApplyRead([]carawaycart.StoreItem{item("a", "2", 9)}, 10)
+	if delta := d.ApplyRead([]carawaycart.StoreItem{item("a", "1", 3), item("b", "1", 4)}, 5); !delta.Empty() {
 		t.Errorf("got delta %+v, want an empty one", delta)
 	}
 	if got, want := zones(d), []carawaycart.ZoneID{"a=2"}; !slices.Equal(got, want) {
@@ -61,12 +61,12 @@
 // below the item's must not remove it.
 func TestReplaceKeepsItemNewerThanRead(t *testing.T) {
 	d := directory.New(decodeZone)
-	d.Replace([]carawaycart.StoreItem{item("a", "1", 12)}, 10)
-	d.Replace(nil, 11)
+	d.ApplyRead([]carawaycart.StoreItem{item("a", "1", 12)}, 10)
+	d.ApplyRead(nil, 11)
 	if got, want := zones(d), []carawaycart.ZoneID{"a=1"}; !slices.Equal(got, want) {
 		t.Errorf("got zones %v, want %v: a read at revision 11 must not remove an item of revision 12", got, want)
 	}
-	d.Replace(nil, 12)
+	d.ApplyRead(nil, 12)
 	if got := zones(d); len(got) != 0 {
 		t.Errorf("got zones %v, want none", got)
 	}
@@ -77,38 +77,38 @@
 // must be applied if it begins at an earlier revision than the directory's.
 func TestApplyRejectsGap(t *testing.T) {
 	d := directory.New(decodeZone)
-	d.Replace(nil, 5)
-	if d.Apply(directory.Difference{From: 6, To: 8, Items: []carawaycart.StoreItem{item("a", "1", 8)}}) {
+	d.ApplyRead(nil, 5)
+	if d.ApplyDelta(directory.Delta{From: 6, To: 8, Items: []carawaycart.StoreItem{item("a", "1", 8)}}) {
 		t.Error("a delta across a gap of revisions was applied")
 	}
-	if !d.Apply(directory.Difference{From: 4, To: 7, Items: []carawaycart.StoreItem{item("a", "1", 7)}}) || d.At() != 7 {
-		t.Errorf("got revision %d after a delta from 4 to 7, want it applied", d.At())
+	if !d.ApplyDelta(directory.Delta{From: 4, To: 7, Items: []carawaycart.StoreItem{item("a", "1", 7)}}) || d.Revision() != 7 {
+		t.Errorf("got revision %d after a delta from 4 to 7, want it applied", d.Revision())
 	}
-	if !d.Apply(directory.Difference{From: 1, To: 3, Missing: []string{"a"}}) || len(zones(d)) != 1 {
+	if !d.ApplyDelta(directory.Delta{From: 1, To: 3, RemovedKeys: []string{"a"}}) || len(zones(d)) != 1 {
 		t.Error("an old delta removed a newer item")
 	}
 }
 
 func TestDecodeFailuresAreCounted(t *testing.T) {
 	d := directory.New(decodeZone)
-	d.Replace([]carawaycart.StoreItem{item("a", "bad", 1), item("b", "1", 2)}, 2)
-	if d.Refused() != 1 || len(zones(d)) != 1 {
-		t.Errorf("got %d decode failures and zones %v, want 1 and only b=1", d.Refused(), zones(d))
+	d.ApplyRead([]carawaycart.StoreItem{item("a", "bad", 1), item("b", "1", 2)}, 2)
+	if d.DecodeFailures() != 1 || len(zones(d)) != 1 {
+		t.Errorf("got %d decode failures and zones %v, want 1 and only b=1", d.DecodeFailures(), zones(d))
 	}
 }
 
 // Entries of services that the configuration does not name were not written by the
 // platform and must not add endpoints.
 func TestContentsOmitUnconfiguredService(t *testing.T) {
-	d := directory.New(func(i carawaycart.StoreItem) (carawaycart.Record, error) {
+	d := directory.New(func(i carawaycart.StoreItem) (carawaycart.DecodedItem, error) {
 		if i.Key == "config" {
-			return carawaycart.Record{Config: &carawaycart.RouteConfig{Services: []carawaycart.ServicePolicy{{ID: "desk"}}}}, nil
+			return carawaycart.DecodedItem{Config: &carawaycart.RouteConfig{Services: []carawaycart.ServicePolicy{{ID: "desk"}}}}, nil
 		}
 		l := lifetime(i.Key, 1, "10.0.0.1:80")
 		l.Service = carawaycart.ServiceID(i.Value)
-		return carawaycart.Record{Lifetime: l}, nil
+		return carawaycart.DecodedItem{Lifetime: l}, nil
 	})
-	d.Replace([]carawaycart.StoreItem{item("config", "", 1), item("i-1", "desk", 2), item("i-2", "else", 3)}, 3)
+	d.ApplyRead([]carawaycart.StoreItem{item("config", "", 1), item("i-1", "desk", 2), item("i-2", "else", 3)}, 3)
 	c := d.Contents()
 	if len(c.Lifetimes) != 1 || c.Lifetimes[0].ID != "i-1" {
 		t.Errorf("got %d lifetimes, want only i-1", len(c.Lifetimes))
@@ -144,10 +144,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{items: make(map[string]carawaycart.StoreItem)}
 		directories := []*directory.Directory{directory.New(decodeZone), directory.New(decodeZone), directory.New(decodeZone)}
-		var deltas []directory.Difference
+		var deltas []directory.Delta
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			d := directories[rapid.IntRange(0, 2).Draw(t, "directory")]
-			before := d.At()
+			before := d.Revision()
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0, 1:
 				key := fmt.Sprint("k", rapid.IntRange(0, 4).Draw(t, "key"))
@@ -155,24 +155,24 @@
 			case 2:
 				s.remove(fmt.Sprint("k", rapid.IntRange(0, 4).Draw(t, "key")))
 			case 3:
-				deltas = append(deltas, d.Replace(s.read()))
+				deltas = append(deltas, d.ApplyRead(s.read()))
 			case 4:
 				if len(deltas) > 0 {
-					d.Apply(deltas[rapid.IntRange(0, len(deltas)-1).Draw(t, "delta")])
+					d.ApplyDelta(deltas[rapid.IntRange(0, len(deltas)-1).Draw(t, "delta")])
 				}
 			case 5:
-				d.Adopt(directories[rapid.IntRange(0, 2).Draw(t, "from")].Since(d.At()))
+				d.ApplySnapshot(directories[rapid.IntRange(0, 2).Draw(t, "from")].SnapshotSince(d.Revision()))
 			}
-			if d.At() < before {
-				t.Fatalf("got revision %d after revision %d, want no older one", d.At(), before)
+			if d.Revision() < before {
+				t.Fatalf("got revision %d after revision %d, want no older one", d.Revision(), before)
 			}
-			if d.At() == s.revision {
+			if d.Revision() == s.revision {
 				checkEqual(t, d, s)
 			}
 		}
-		directories[0].Replace(s.read())
-		directories[1].Adopt(directories[0].Since(directories[1].At()))
-		directories[2].Replace(s.read())
+		directories[0].ApplyRead(s.read())
+		directories[1].ApplySnapshot(directories[0].SnapshotSince(directories[1].Revision()))
+		directories[2].ApplyRead(s.read())
 		for _, d := range directories {
 			checkEqual(t, d, s)
 		}
@@ -182,7 +182,7 @@
 // checkEqual checks that d holds the items of s.
 func checkEqual(t *rapid.T, d *directory.Directory, s *store) {
 	model := directory.New(decodeZone)
-	model.Replace(s.read())
+	model.ApplyRead(s.read())
 	if got, want := zones(d), zones(model); !slices.Equal(got, want) {
 		t.Fatalf("at revision %d: got zones %v, want %v", s.revision, got, want)
 	}
@@ -198,7 +198,7 @@
 			d := directory.New(decodeZone)
 			b.ReportAllocs()
 			for b.Loop() {
-				d.Replace(items, carawaycart.StoreRevision(n+1))
+				d.ApplyRead(items, carawaycart.StoreRevision(n+1))
 			}
 		})
 	}
--- a/core/directory/lifetime_tracker.go
+++ b/core/directory/lifetime_tracker.go
@@ -31,9 +31,9 @@
 	endedRetention = 70 * time.Second
 )
 
-// Seen is a tracked lifetime with its presence. If only a peer has reported the
+// TrackedLifetime is a tracked lifetime with its presence. If only a peer has reported the
 // lifetime, Lifetime holds just its key, and Revision and ColdUntil are zero.
-type Seen struct {
+type TrackedLifetime struct {
 	Lifetime carawaycart.Lifetime
 	Presence Presence
 	// Revision is that of the store item from which Lifetime was read.
@@ -46,37 +46,37 @@
 	Deadline time.Time
 }
 
-// Roster tracks the presence of lifetimes across successive contents of a
+// LifetimeTracker tracks the presence of lifetimes across successive contents of a
 // directory; it is not safe for concurrent use.
-type Roster struct {
-	lifetimes   map[carawaycart.LifetimeKey]*Seen
+type LifetimeTracker struct {
+	lifetimes   map[carawaycart.LifetimeKey]*TrackedLifetime
 	lastFailure time.Time // latest known failure of the store; zero if none
 }
 
-// NewRoster returns a tracker without lifetimes.
-func NewRoster() *Roster {
-	return &Roster{lifetimes: make(map[carawaycart.LifetimeKey]*Seen)}
+// NewLifetimeTracker returns a tracker without lifetimes.
+func NewLifetimeTracker() *LifetimeTracker {
+	return &LifetimeTracker{lifetimes: make(map[carawaycart.LifetimeKey]*TrackedLifetime)}
 }
 
-// Trouble records a store failure at now, such as a read that failed.
-func (t *Roster) Trouble(now time.Time) { t.lastFailure = now }
+// RecordStoreFailure records a store failure at now, such as a read that failed.
+func (t *LifetimeTracker) RecordStoreFailure(now time.Time) { t.lastFailure = now }
 
-// Update applies the contents of the directory as of now, and then does what Tick
+// ApplyContents applies the contents of the directory as of now, and then does what Tick
 // does.
-func (t *Roster) Update(c *Contents, now time.Time) {
+func (t *LifetimeTracker) ApplyContents(c *Contents, now time.Time) {
 	bornByID := make(map[carawaycart.EndpointID]carawaycart.UnixMillis, len(c.Lifetimes))
 	newestByAddress := make(map[netip.AddrPort]carawaycart.UnixMillis, len(c.Lifetimes))
 	for _, l := range c.Lifetimes {
-		bornByID[l.ID] = l.Born
-		newestByAddress[l.Address] = max(newestByAddress[l.Address], l.Born)
-		t.record(l, c.Revisions[l.Key()], now)
+		bornByID[l.ID] = l.StartedAt
+		newestByAddress[l.Address] = max(newestByAddress[l.Address], l.StartedAt)
+		t.markPresent(l, c.Revisions[l.Key()], now)
 	}
 	for key, s := range t.lifetimes {
 		born, listed := bornByID[key.ID]
 		switch {
-		case s.Lifetime.Born < newestByAddress[s.Lifetime.Address]:
+		case s.Lifetime.StartedAt < newestByAddress[s.Lifetime.Address]:
 			t.markEnded(s, now) // the address is reassigned only after its previous owner has ended
-		case listed && born == key.Born:
+		case listed && born == key.StartedAt:
 		case listed:
 			t.markEnded(s, now) // the endpoint has restarted
 		case s.Presence == Present:
@@ -86,17 +86,17 @@
 	t.Tick(now)
 }
 
-// record marks l, which was read from an item with the given revision, as present.
-func (t *Roster) record(l *carawaycart.Lifetime, revision carawaycart.StoreRevision, now time.Time) {
+// markPresent marks l, which was read from an item with the given revision, as present.
+func (t *LifetimeTracker) markPresent(l *carawaycart.Lifetime, revision carawaycart.StoreRevision, now time.Time) {
 	s := t.lifetimes[l.Key()]
 	if s == nil {
-		s = &Seen{}
+		s = &TrackedLifetime{}
 		t.lifetimes[l.Key()] = s
 	}
 	if s.Revision != revision {
 		// ColdLeft counts from when the entry was written. That time is unknown
 		// but no later than now, so ColdUntil may be late but not early.
-		s.ColdUntil = now.Add(l.ColdLeft)
+		s.ColdUntil = now.Add(l.ColdRemaining)
 		s.Revision = revision
 	}
 	s.Lifetime, s.Presence = *l, Present
@@ -104,7 +104,7 @@
 
 // handleAbsent marks a lifetime whose entry has just disappeared as lapsed if
 // the store failed within the last failureWindow, and as ended otherwise.
-func (t *Roster) handleAbsent(s *Seen, now time.Time) {
+func (t *LifetimeTracker) handleAbsent(s *TrackedLifetime, now time.Time) {
 	if t.lastFailure.IsZero() || now.Sub(t.lastFailure) > failureWindow {
 		t.markEnded(s, now)
 		return
@@ -114,7 +114,7 @@
 
 // markEnded marks a lifetime as ended and starts its retention, unless it has
 // ended already.
-func (t *Roster) markEnded(s *Seen, now time.Time) {
+func (t *LifetimeTracker) markEnded(s *TrackedLifetime, now time.Time) {
 	if s.Presence == Ended {
 		return
 	}
@@ -124,7 +124,7 @@
 // Tick ends lapsed lifetimes and removes ended ones whose deadlines have passed.
 // No lapsed lifetime ends within lapsedGrace after a store failure, since its
 // entry cannot reappear while the store fails.
-func (t *Roster) Tick(now time.Time) {
+func (t *LifetimeTracker) Tick(now time.Time) {
 	for key, s := range t.lifetimes {
 		switch {
 		case s.Presence == Lapsed && !now.Before(later(s.Deadline, t.lastFailure.Add(lapsedGrace))):
@@ -142,9 +142,9 @@
 	return b
 }
 
-// Lapsing reports whether any lifetime is lapsed. If so, the passing of time alone
+// HasLapsed reports whether any lifetime is lapsed. If so, the passing of time alone
 // may end it, without a change of the directory.
-func (t *Roster) Lapsing() bool {
+func (t *LifetimeTracker) HasLapsed() bool {
 	for _, s := range t.lifetimes {
 		if s.Presence == Lapsed {
 			return true
@@ -153,8 +153,8 @@
 	return false
 }
 
-// Ended returns the retained lifetimes that have ended, in no particular order.
-func (t *Roster) Ended() []carawaycart.LifetimeKey {
+// EndedLifetimes returns the retained lifetimes that have ended, in no particular order.
+func (t *LifetimeTracker) EndedLifetimes() []carawaycart.LifetimeKey {
 	var keys []carawaycart.LifetimeKey
 	for key, s := range t.lifetimes {
 		if s.Presence == Ended {
@@ -164,24 +164,24 @@
 	return keys
 }
 
-// Remember records lifetimes that a peer reports as ended, and reports whether
+// RecordEnded records lifetimes that a peer reports as ended, and reports whether
 // any was new. It ignores lifetimes that are already tracked, ended or not.
-func (t *Roster) Remember(keys []carawaycart.LifetimeKey, now time.Time) bool {
+func (t *LifetimeTracker) RecordEnded(keys []carawaycart.LifetimeKey, now time.Time) bool {
 	added := false
 	for _, key := range keys {
 		if t.lifetimes[key] != nil {
 			continue
 		}
 		added = true
-		t.lifetimes[key] = &Seen{
-			Lifetime: carawaycart.Lifetime{ID: key.ID, Born: key.Born}, Presence: Ended, Deadline: now.Add(endedRetention),
+		t.lifetimes[key] = &TrackedLifetime{
+			Lifetime: carawaycart.Lifetime{ID: key.ID, StartedAt: key.StartedAt}, Presence: Ended, Deadline: now.Add(endedRetention),
 		}
 	}
 	return added
 }
 
-// All calls f with each tracked lifetime, in no particular order.
-func (t *Roster) All(f func(*Seen)) {
+// ForEach calls f with each tracked lifetime, in no particular order.
+func (t *LifetimeTracker) ForEach(f func(*TrackedLifetime)) {
 	for _, s := range t.lifetimes {
 		f(s)
 	}
--- a/core/directory/lifetime_tracker_test.go
+++ b/core/directory/lifetime_tracker_test.go
@@ -13,7 +13,7 @@
 
 func lifetime(id string, born int64, address string) *carawaycart.Lifetime {
 	return &carawaycart.Lifetime{
-		ID: carawaycart.EndpointID(id), Born: carawaycart.UnixMillis(born), Service: "desk",
+		ID: carawaycart.EndpointID(id), StartedAt: carawaycart.UnixMillis(born), Service: "desk",
 		Address: netip.MustParseAddrPort(address),
 	}
 }
@@ -23,10 +23,10 @@
 }
 
 // presence returns the presence of a lifetime, and false if it is not tracked.
-func presence(tracker *directory.Roster, id string, born int64) (directory.Presence, bool) {
-	var found *directory.Seen
-	tracker.All(func(s *directory.Seen) {
-		if s.Lifetime.Key() == (carawaycart.LifetimeKey{ID: carawaycart.EndpointID(id), Born: carawaycart.UnixMillis(born)}) {
+func presence(tracker *directory.LifetimeTracker, id string, born int64) (directory.Presence, bool) {
+	var found *directory.TrackedLifetime
+	tracker.ForEach(func(s *directory.TrackedLifetime) {
+		if s.Lifetime.Key() == (carawaycart.LifetimeKey{ID: carawaycart.EndpointID(id), StartedAt: carawaycart.UnixMillis(born)}) {
 			found = s
 		}
 	})
@@ -42,49 +42,49 @@
 	one, two := lifetime("i-1", 1, "10.0.0.1:80"), lifetime("i-2", 1, "10.0.0.2:80")
 	for _, test := range []struct {
 		name  string
-		steps func(*directory.Roster)
+		steps func(*directory.LifetimeTracker)
 		want  directory.Presence
 	}{
-		{"listed", func(tracker *directory.Roster) { tracker.Update(contents(one), start) }, directory.Present},
-		{"absent while the store answers", func(tracker *directory.Roster) {
-			tracker.Update(contents(one, two), start)
-			tracker.Update(contents(two), start.Add(time.Second))
+		{"listed", func(tracker *directory.LifetimeTracker) { tracker.ApplyContents(contents(one), start) }, directory.Present},
+		{"absent while the store answers", func(tracker *directory.LifetimeTracker) {
+			tracker.ApplyContents(contents(one, two), start)
+			tracker.ApplyContents(contents(two), start.Add(time.Second))
 		}, directory.Ended},
-		{"absent after a store failure", func(tracker *directory.Roster) {
-			tracker.Update(contents(one, two), start)
-			tracker.Trouble(start.Add(time.Second))
-			tracker.Update(contents(two), start.Add(2*time.Second))
+		{"absent after a store failure", func(tracker *directory.LifetimeTracker) {
+			tracker.ApplyContents(contents(one, two), start)
+			tracker.RecordStoreFailure(start.Add(time.Second))
+			tracker.ApplyContents(contents(two), start.Add(2*time.Second))
 		}, directory.Lapsed},
-		{"reappeared after a store failure", func(tracker *directory.Roster) {
-			tracker.Update(contents(one), start)
-			tracker.Trouble(start.Add(time.Second))
-			tracker.Update(contents(), start.Add(2*time.Second))
-			tracker.Update(contents(one), start.Add(4*time.Second))
+		{"reappeared after a store failure", func(tracker *directory.LifetimeTracker) {
+			tracker.ApplyContents(contents(one), start)
+			tracker.RecordStoreFailure(start.Add(time.Second))
+			tracker.ApplyContents(contents(), start.Add(2*time.Second))
+			tracker.ApplyContents(contents(one), start.Add(4*time.Second))
 		}, directory.Present},
-		{"absent beyond the grace period after a store failure", func(tracker *directory.Roster) {
-			tracker.Update(contents(one), start)
-			tracker.Trouble(start.Add(time.Second))
-			tracker.Update(contents(), start.Add(2*time.Second))
+		{"absent beyond the grace period after a store failure", func(tracker *directory.LifetimeTracker) {
+			tracker.ApplyContents(contents(one), start)
+			tracker.RecordStoreFailure(start.Add(time.Second))
+			tracker.ApplyContents(contents(), start.Add(2*time.Second))
 			tracker.Tick(start.Add(4500 * time.Millisecond))
 		}, directory.Ended},
-		{"absent while the store keeps failing", func(tracker *directory.Roster) {
-			tracker.Update(contents(one), start)
-			tracker.Trouble(start.Add(time.Second))
-			tracker.Update(contents(), start.Add(2*time.Second))
-			tracker.Trouble(start.Add(4 * time.Second))
+		{"absent while the store keeps failing", func(tracker *directory.LifetimeTracker) {
+			tracker.ApplyContents(contents(one), start)
+			tracker.RecordStoreFailure(start.Add(time.Second))
+			tracker.ApplyContents(contents(), start.Add(2*time.Second))
+			tracker.RecordStoreFailure(start.Add(4 * time.Second))
 			tracker.Tick(start.Add(5 * time.Second))
 		}, directory.Lapsed},
-		{"restarted under the same id", func(tracker *directory.Roster) {
-			tracker.Update(contents(one), start)
-			tracker.Update(contents(lifetime("i-1", 2, "10.0.0.1:80")), start.Add(time.Second))
+		{"restarted under the same id", func(tracker *directory.LifetimeTracker) {
+			tracker.ApplyContents(contents(one), start)
+			tracker.ApplyContents(contents(lifetime("i-1", 2, "10.0.0.1:80")), start.Add(time.Second))
 		}, directory.Ended},
-		{"address reassigned", func(tracker *directory.Roster) {
-			tracker.Update(contents(one), start)
-			tracker.Trouble(start.Add(time.Second))
-			tracker.Update(contents(one, lifetime("i-9", 7, "10.0.0.1:80")), start.Add(2*time.Second))
+		{"address reassigned", func(tracker *directory.LifetimeTracker) {
+			tracker.ApplyContents(contents(one), start)
+			tracker.RecordStoreFailure(start.Add(time.Second))
+			tracker.ApplyContents(contents(one, lifetime("i-9", 7, "10.0.0.1:80")), start.Add(2*time.Second))
 		}, directory.Ended},
 	} {
-		tracker := directory.NewRoster()
+		tracker := directory.NewLifetimeTracker()
 		test.steps(tracker)
 		if got, ok := presence(tracker, "i-1", 1); !ok || got != test.want {
 			t.Errorf("%s: got presence %d (tracked %t), want %d", test.name, got, ok, test.want)
@@ -95,9 +95,9 @@
 // The token of an ended lifetime must stay known for as long as its flows may
 // last, which is 60 s.
 func TestEndedLifetimeIsRetained(t *testing.T) {
-	tracker := directory.NewRoster()
-	tracker.Update(contents(lifetime("i-1", 1, "10.0.0.1:80")), start)
-	tracker.Update(contents(), start.Add(time.Second))
+	tracker := directory.NewLifetimeTracker()
+	tracker.ApplyContents(contents(lifetime("i-1", 1, "10.0.0.1:80")), start)
+	tracker.ApplyContents(contents(), start.Add(time.Second))
 	tracker.Tick(start.Add(61 * time.Second))
 	if got, ok := presence(tracker, "i-1", 1); !ok || got != directory.Ended {
 		t.Errorf("got presence %d (tracked %t), want ended and tracked after 60 s", got, ok)
@@ -112,13 +112,13 @@
 // same entry again must not extend it.
 func TestRereadDoesNotExtendColdTime(t *testing.T) {
 	l := lifetime("i-1", 1, "10.0.0.1:80")
-	l.ColdLeft = 2 * time.Second
+	l.ColdRemaining = 2 * time.Second
 	c := contents(l)
 	c.Revisions = map[carawaycart.LifetimeKey]carawaycart.StoreRevision{l.Key(): 5}
-	tracker := directory.NewRoster()
-	tracker.Update(c, start)
-	tracker.Update(c, start.Add(time.Second))
-	tracker.All(func(s *directory.Seen) {
+	tracker := directory.NewLifetimeTracker()
+	tracker.ApplyContents(c, start)
+	tracker.ApplyContents(c, start.Add(time.Second))
+	tracker.ForEach(func(s *directory.TrackedLifetime) {
 		if want := start.Add(2 * time.Second); !s.ColdUntil.Equal(want) {
 			t.Errorf("got cold until %v, want %v", s.ColdUntil, want)
 		}
@@ -129,12 +129,12 @@
 // before, though packets of their flows still arrive; it learns them from peers.
 func TestEndedLifetimesOfPeersAreRecorded(t *testing.T) {
 	one, two := lifetime("i-1", 1, "10.0.0.1:80"), lifetime("i-2", 1, "10.0.0.2:80")
-	running := directory.NewRoster()
-	running.Update(contents(one, two), start)
-	running.Update(contents(two), start.Add(time.Second))
-	restarted := directory.NewRoster()
-	restarted.Update(contents(two), start.Add(2*time.Second))
-	if !restarted.Remember(append(running.Ended(), two.Key()), start.Add(2*time.Second)) {
+	running := directory.NewLifetimeTracker()
+	running.ApplyContents(contents(one, two), start)
+	running.ApplyContents(contents(two), start.Add(time.Second))
+	restarted := directory.NewLifetimeTracker()
+	restarted.ApplyContents(contents(two), start.Add(2*time.Second))
+	if !restarted.RecordEnded(append(running.EndedLifetimes(), two.Key()), start.Add(2*time.Second)) {
 		t.Error("got no lifetime reported as new, want i-1")
 	}
 	if got, ok := presence(restarted, "i-1", 1); !ok || got != directory.Ended {
@@ -143,7 +143,7 @@
 	if got, _ := presence(restarted, "i-2", 1); got != directory.Present {
 		t.Errorf("i-2: got presence %d, want present, as its entry exists", got)
 	}
-	if restarted.Remember(running.Ended(), start.Add(3*time.Second)) {
+	if restarted.RecordEnded(running.EndedLifetimes(), start.Add(3*time.Second)) {
 		t.Error("got lifetimes reported as new that were already tracked")
 	}
 }
--- a/core/flow/bench_test.go
+++ b/core/flow/bench_test.go
@@ -43,7 +43,7 @@
 			f.setStatus(carawaycart.EndpointOpen, true)
 			for i := range records {
 				p := packet(i, carawaycart.PacketMiddle)
-				f.records["i00"].Put(carawaycart.FlowRecord{Service: "desk", Fingerprint: p.Key.Fingerprint(), Endpoint: "e01"}, start)
+				f.records["i00"].Merge(carawaycart.FlowRecord{Service: "desk", Fingerprint: p.Key.Fingerprint(), Endpoint: "e01"}, start)
 			}
 			router := f.routers["i00"]
 			p := packet(7, carawaycart.PacketMiddle)
@@ -61,7 +61,7 @@
 	r := flow.NewRecords()
 	i := 0
 	for b.Loop() {
-		r.Put(carawaycart.FlowRecord{Service: "desk", Fingerprint: carawaycart.Fingerprint(i) << 7, Endpoint: "e01"}, start)
+		r.Merge(carawaycart.FlowRecord{Service: "desk", Fingerprint: carawaycart.Fingerprint(i) << 7, Endpoint: "e01"}, start)
 		i++
 	}
 }
--- a/core/flow/conformance_test.go
+++ b/core/flow/conformance_test.go
@@ -18,21 +18,21 @@
 
 func (r fixtureFleet) Instances() int { return len(r.members) }
 
-func (r fixtureFleet) First(instance, n int, now time.Time) carawaycart.Decision {
+func (r fixtureFleet) OpenFlow(instance, n int, now time.Time) carawaycart.Decision {
 	return r.send(r.instanceID(instance), packet(n, carawaycart.PacketFirst), now)
 }
 
-func (r fixtureFleet) Later(instance, n int, _ carawaycart.Decision, now time.Time) carawaycart.Decision {
+func (r fixtureFleet) SendPacket(instance, n int, _ carawaycart.Decision, now time.Time) carawaycart.Decision {
 	return r.send(r.instanceID(instance), packet(n, carawaycart.PacketMiddle), now)
 }
 
-func (r fixtureFleet) Unknown(instance int, now time.Time) carawaycart.Decision {
+func (r fixtureFleet) OpenToUnknownService(instance int, now time.Time) carawaycart.Decision {
 	p := packet(0, carawaycart.PacketFirst)
 	p.Key.Service = netip.MustParseAddrPort("192.0.2.99:1")
 	return r.send(r.instanceID(instance), p, now)
 }
 
-func (r fixtureFleet) Drain(e carawaycart.EndpointID, now time.Time) {
+func (r fixtureFleet) MarkLeaving(e carawaycart.EndpointID, now time.Time) {
 	r.markLeaving(r.t, e)
 	for id := range r.boards {
 		r.applyConfig(id, now)
@@ -55,7 +55,7 @@
 			continue
 		}
 		for _, record := range records.Append(nil, func(*carawaycart.FlowRecord) bool { return true }) {
-			fresh.Put(record, now)
+			fresh.Merge(record, now)
 		}
 	}
 	r.records[id] = fresh
--- a/core/flow/records.go
+++ b/core/flow/records.go
@@ -80,19 +80,19 @@
 	return rec.Endpoint, true
 }
 
-// Forget deletes the record of flow f.
-func (r *Records) Forget(f carawaycart.Fingerprint) {
+// Delete deletes the record of flow f.
+func (r *Records) Delete(f carawaycart.Fingerprint) {
 	s := r.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.records, f)
 }
 
-// Put merges a record that was made or received at now. It replaces an existing
+// Merge merges a record that was made or received at now. It replaces an existing
 // record of the same flow if that flow has ended, or if the added record has a
 // higher revision, or the same revision and an earlier opening time. Otherwise the
 // existing record stays and only its idle time restarts at now.
-func (r *Records) Put(added carawaycart.FlowRecord, now time.Time) {
+func (r *Records) Merge(added carawaycart.FlowRecord, now time.Time) {
 	s := r.shard(added.Fingerprint)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +110,7 @@
 	if a.Revision != b.Revision {
 		return a.Revision > b.Revision
 	}
-	return a.OpenedUnix < b.OpenedUnix
+	return a.OpenedUnixNano < b.OpenedUnixNano
 }
 
 // Len returns the number of records, including those of ended flows.
@@ -129,14 +129,14 @@
 // record immediately, whether its flow is open or ended. Any other value retains
 // the record of an ended flow for endedRetention.
 type Retention struct {
-	// Idle is the time without packets after which the record of an open flow
+	// IdleTimeout is the time without packets after which the record of an open flow
 	// expires.
-	Idle time.Duration
-	// Since is the earliest start of the idle time. The zero time counts from the
+	IdleTimeout time.Duration
+	// IdleSince is the earliest start of the idle time. The zero time counts from the
 	// last packet.
-	Since time.Time
-	// Hold disables the idle timeout of open flows.
-	Hold bool
+	IdleSince time.Time
+	// NoIdleTimeout disables the idle timeout of open flows.
+	NoIdleTimeout bool
 }
 
 // Expire deletes the records whose retention is over at now, appends them to dst
@@ -165,8 +165,8 @@
 	if r.ended {
 		return now.UnixNano()-r.lastSeen >= int64(endedRetention)
 	}
-	lastSeen := max(r.lastSeen, t.Since.UnixNano())
-	return !t.Hold && now.UnixNano()-lastSeen >= int64(t.Idle)
+	lastSeen := max(r.lastSeen, t.IdleSince.UnixNano())
+	return !t.NoIdleTimeout && now.UnixNano()-lastSeen >= int64(t.IdleTimeout)
 }
 
 // Append appends to dst the records of open flows for which keep returns true, and
--- a/core/flow/router.go
+++ b/core/flow/router.go
@@ -25,7 +25,7 @@
 // it records a new flow.
 func (r *Router) Decide(p *carawaycart.Packet, now time.Time) carawaycart.Decision {
 	view := r.board.View()
-	if view == nil || !r.board.Awake(now) {
+	if view == nil || !r.board.MayDecide(now) {
 		return drop(carawaycart.CauseNotReady)
 	}
 	route := view.Service(p.Key.Service)
@@ -75,13 +75,13 @@
 		return drop(carawaycart.CauseNotKeeper)
 	}
 	last := p.Kind == carawaycart.PacketLast
-	if owner, ok := r.records.OwnerForPacket(f, now, last); ok && view.Config.Holding(owner) {
+	if owner, ok := r.records.OwnerForPacket(f, now, last); ok && view.Config.MayOwnFlows(owner) {
 		return forward(owner)
 	}
 	if slot.Base != slot.Current {
 		// The base can be replaced once it has received no such packet for the idle
 		// time of flows.
-		route.NoteBase(index, now)
+		route.RecordBaseUse(index, now)
 	}
 	return forward(slot.Base.ID)
 }
@@ -102,12 +102,12 @@
 		return drop(carawaycart.CauseNotKeeper)
 	}
 	if owner, ok := r.records.OwnerForFirstPacket(f, now); ok {
-		if view.Config.Holding(owner) {
+		if view.Config.MayOwnFlows(owner) {
 			return forward(owner)
 		}
-		r.records.Forget(f)
+		r.records.Delete(f)
 	}
-	limiter := slot.Current.Gate()
+	limiter := slot.Current.Limiter()
 	if limiter == nil {
 		// The instance has not taken over as keeper of the endpoint yet.
 		return drop(carawaycart.CauseNotReady)
@@ -116,7 +116,7 @@
 	if !stable {
 		return r.decideFirstUnstable(slot, baseStable, now)
 	}
-	if view.Config.Accepting(slot.Current.ID) && limiter.AdmitFlow(now) {
+	if view.Config.AcceptsNewWork(slot.Current.ID) && limiter.AdmitFlow(now) {
 		return r.openFlow(view, route, slot, slot.Current, f, now)
 	}
 	if slot.Base == slot.Current {
@@ -139,7 +139,7 @@
 // that it is the base in all recent tables, because then no instance needs a
 // record of the flow.
 func (r *Router) decideFirstUnstable(slot board.Slot, baseStable bool, now time.Time) carawaycart.Decision {
-	if baseStable && slot.Base == slot.Current && slot.Base.Gate().AdmitFlow(now) {
+	if baseStable && slot.Base == slot.Current && slot.Base.Limiter().AdmitFlow(now) {
 		return forward(slot.Base.ID)
 	}
 	return drop(carawaycart.CauseSpreading)
@@ -154,11 +154,11 @@
 	if owner == slot.Base {
 		return d
 	}
-	r.records.Put(carawaycart.FlowRecord{
+	r.records.Merge(carawaycart.FlowRecord{
 		Service: route.Service.ID, Fingerprint: f, Endpoint: owner.ID,
-		Revision: view.Config.Revision, OpenedUnix: now.UnixNano(),
+		Revision: view.Config.Revision, OpenedUnixNano: now.UnixNano(),
 	}, now)
-	d.Record = true
+	d.RecordCreated = true
 	return d
 }
 
@@ -170,7 +170,7 @@
 	var best *board.Entry
 	var bestScore uint64
 	for _, e := range route.Entries {
-		if e == exclude || !view.Config.Accepting(e.ID) || e.Status().State != carawaycart.EndpointOpen {
+		if e == exclude || !view.Config.AcceptsNewWork(e.ID) || e.Status().State != carawaycart.EndpointOpen {
 			continue
 		}
 		if s := e.Score(rendezvous.Key(f)); best == nil || s > bestScore {
--- a/core/flow/router_test.go
+++ b/core/flow/router_test.go
@@ -48,7 +48,7 @@
 	for i := range endpoints {
 		id := carawaycart.EndpointID(fmt.Sprintf("e%02d", i))
 		f.put(tb, carawaycart.KindEndpoint, string(id), carawaycart.Endpoint{
-			ID: id, Service: "desk", Zone: zones[i%2], FlowAddress: netip.MustParseAddrPort("127.0.0.1:1"), Flows: 1000, Slots: 2,
+			ID: id, Service: "desk", Zone: zones[i%2], FlowAddress: netip.MustParseAddrPort("127.0.0.1:1"), MaxFlows: 1000, RequestSlots: 2,
 		})
 	}
 	f.cleanSlots(tb)
@@ -71,16 +71,16 @@
 
 func (f *fixture) put(tb testing.TB, kind carawaycart.ObjectKind, name string, object any) {
 	tb.Helper()
-	f.config = configtest.Put(tb, f.config, kind, name, object)
+	f.config = configtest.MustPut(tb, f.config, kind, name, object)
 }
 
 // cleanSlots replaces the base of every slot by its current endpoint.
 func (f *fixture) cleanSlots(tb testing.TB) {
 	t := f.config.Slots["desk"]
-	var s config.Settlement
+	var s config.BaseReplacement
 	for i := range t.Base {
 		if t.Base[i] != t.Current[i] {
-			s.Moves = append(s.Moves, config.Move{
+			s.Moves = append(s.Moves, config.BaseMove{
 				Base: t.Members[t.Base[i]], Current: t.Members[t.Current[i]], Slots: []carawaycart.SlotIndex{carawaycart.SlotIndex(i)},
 			})
 		}
@@ -99,7 +99,7 @@
 // applyConfig applies the latest configuration to instance id at now.
 func (f *fixture) applyConfig(id carawaycart.InstanceID, now time.Time) {
 	f.boards[id].SetConfig(f.config, now)
-	f.boards[id].StayAwake(now.Add(time.Hour))
+	f.boards[id].AllowDecisionsUntil(now.Add(time.Hour))
 }
 
 // setLimiters makes each keeper limit its endpoints. All endpoints are past their
@@ -111,9 +111,9 @@
 			if entry.Holders(b.Members()).Keeper != id {
 				continue
 			}
-			limiter := limit.NewGate(*entry.Endpoint(), f.config.Profiles["swift"], carawaycart.EndpointStatus{}, now.Add(-time.Hour))
-			limiter.Observe(carawaycart.Report{}, now.Add(-time.Hour))
-			entry.OpenGate(limiter, now)
+			limiter := limit.NewLimiter(*entry.Endpoint(), f.config.Profiles["swift"], carawaycart.EndpointStatus{}, now.Add(-time.Hour))
+			limiter.RecordReport(carawaycart.LoadReport{}, now.Add(-time.Hour))
+			entry.SetLimiter(limiter, now)
 		}
 	}
 	f.setStatus(carawaycart.EndpointOpen, false)
@@ -123,7 +123,7 @@
 func (f *fixture) setStatus(state carawaycart.EndpointState, guarded bool) {
 	for _, b := range f.boards {
 		for e := range f.config.Endpoints {
-			b.Entry(e).State("any", state, guarded)
+			b.Entry(e).UpdateStatus("any", state, guarded)
 		}
 	}
 }
@@ -137,7 +137,7 @@
 		p.Relayed = true
 		d = f.routers[id].Decide(&p, now)
 	}
-	if d.Record {
+	if d.RecordCreated {
 		f.replicate(id, &p, now)
 	}
 	return d
@@ -149,8 +149,8 @@
 	route := f.boards[id].View().Service(address)
 	current := route.Active.Slot(route.Active.Index(p.Key.Fingerprint())).Current
 	h := current.Holders(f.boards[id].Members())
-	for _, r := range h.Replicas[:h.Count] {
-		f.records[r].Put(record, now)
+	for _, r := range h.Replicas[:h.ReplicaCount] {
+		f.records[r].Merge(record, now)
 	}
 }
 
@@ -311,15 +311,15 @@
 		{"no ready member", func(f *fixture, _ *testing.T) { f.boards["i00"].SetMembers(nil) }, carawaycart.CauseNoKeeper},
 		{"paused instance", func(f *fixture, _ *testing.T) {
 			for _, b := range f.boards {
-				b.StayAwake(start)
+				b.AllowDecisionsUntil(start)
 			}
 		}, carawaycart.CauseNotReady},
 		{"endpoint full, guard not yet known to all instances", func(f *fixture, _ *testing.T) {
 			for _, b := range f.boards {
-				b.Entries(func(e *board.Entry) {
-					if limiter := e.Gate(); limiter != nil {
-						limiter.Observe(carawaycart.Report{Shedding: true}, start)
-						limiter.Guard(false, start)
+				b.ForEachEntry(func(e *board.Entry) {
+					if limiter := e.Limiter(); limiter != nil {
+						limiter.RecordReport(carawaycart.LoadReport{Shedding: true}, start)
+						limiter.UpdateGuard(false, start)
 					}
 				})
 			}
@@ -338,7 +338,7 @@
 // not know that a slot is no longer clean.
 func TestPausedInstanceForwardsNothing(t *testing.T) {
 	f := newFixture(t, 4, 4)
-	f.boards["i00"].StayAwake(start)
+	f.boards["i00"].AllowDecisionsUntil(start)
 	for i := range 100 {
 		p := packet(i, carawaycart.PacketMiddle)
 		if d := f.routers["i00"].Decide(&p, start); d.Verdict != carawaycart.VerdictDrop || d.Cause != carawaycart.CauseNotReady {
@@ -383,11 +383,11 @@
 	f := newFixture(t, 8, 14)
 	var cold carawaycart.EndpointID = "e05"
 	for _, b := range f.boards {
-		if limiter := b.Entry(cold).Gate(); limiter != nil {
-			limiter.Observe(carawaycart.Report{Cold: true}, start)
-			limiter.Guard(false, start)
+		if limiter := b.Entry(cold).Limiter(); limiter != nil {
+			limiter.RecordReport(carawaycart.LoadReport{Cold: true}, start)
+			limiter.UpdateGuard(false, start)
 		}
-		b.Entry(cold).State("keeper", carawaycart.EndpointCold, true)
+		b.Entry(cold).UpdateStatus("keeper", carawaycart.EndpointCold, true)
 	}
 	now := start.Add(2 * time.Second)
 	owners := f.openFlows(t, 3000, now)
@@ -409,9 +409,9 @@
 // zone is back in service, packets of its earlier flows would be forwarded by them.
 func TestRecordsOfZoneTakenOutExpire(t *testing.T) {
 	r := flow.NewRecords()
-	r.Put(carawaycart.FlowRecord{Service: "desk", Fingerprint: 1, Endpoint: "e01"}, start)
+	r.Merge(carawaycart.FlowRecord{Service: "desk", Fingerprint: 1, Endpoint: "e01"}, start)
 	r.OwnerForPacket(1, start, true) // the flow has ended, its record is retained for late packets
-	r.Put(carawaycart.FlowRecord{Service: "desk", Fingerprint: 2, Endpoint: "e01"}, start)
+	r.Merge(carawaycart.FlowRecord{Service: "desk", Fingerprint: 2, Endpoint: "e01"}, start)
 	r.Expire(nil, start, func(*carawaycart.FlowRecord) flow.Retention { return flow.Retention{} })
 	if n := r.Len(); n != 0 {
 		t.Errorf("got %d records, want none", n)
@@ -427,13 +427,13 @@
 		after     time.Duration
 		want      int
 	}{
-		{"before the idle timeout", flow.Retention{Idle: time.Minute}, 59 * time.Second, 1},
-		{"after the idle timeout", flow.Retention{Idle: time.Minute}, time.Minute, 0},
-		{"no idle timeout at replicas, which receive no packets", flow.Retention{Idle: time.Minute, Hold: true}, time.Hour, 1},
-		{"idle time counts from the takeover by a new keeper", flow.Retention{Idle: time.Minute, Since: start.Add(50 * time.Second)}, time.Minute, 1},
+		{"before the idle timeout", flow.Retention{IdleTimeout: time.Minute}, 59 * time.Second, 1},
+		{"after the idle timeout", flow.Retention{IdleTimeout: time.Minute}, time.Minute, 0},
+		{"no idle timeout at replicas, which receive no packets", flow.Retention{IdleTimeout: time.Minute, NoIdleTimeout: true}, time.Hour, 1},
+		{"idle time counts from the takeover by a new keeper", flow.Retention{IdleTimeout: time.Minute, IdleSince: start.Add(50 * time.Second)}, time.Minute, 1},
 	} {
 		r := flow.NewRecords()
-		r.Put(carawaycart.FlowRecord{Fingerprint: 1, Endpoint: "e01"}, start)
+		r.Merge(carawaycart.FlowRecord{Fingerprint: 1, Endpoint: "e01"}, start)
 		r.Expire(nil, start.Add(test.after), func(*carawaycart.FlowRecord) flow.Retention { return test.retention })
 		if got := r.Len(); got != test.want {
 			t.Errorf("%s: got %d records, want %d", test.name, got, test.want)
@@ -444,9 +444,9 @@
 // Guards against diverging owners after a partition: records of one flow made on
 // both sides must merge to the same owner in any order.
 func TestMergeOfRecordsIsOrderIndependent(t *testing.T) {
-	newer := carawaycart.FlowRecord{Fingerprint: 1, Endpoint: "newer", Revision: 8, OpenedUnix: 5}
-	early := carawaycart.FlowRecord{Fingerprint: 1, Endpoint: "early", Revision: 7, OpenedUnix: 1}
-	late := carawaycart.FlowRecord{Fingerprint: 1, Endpoint: "late", Revision: 7, OpenedUnix: 2}
+	newer := carawaycart.FlowRecord{Fingerprint: 1, Endpoint: "newer", Revision: 8, OpenedUnixNano: 5}
+	early := carawaycart.FlowRecord{Fingerprint: 1, Endpoint: "early", Revision: 7, OpenedUnixNano: 1}
+	late := carawaycart.FlowRecord{Fingerprint: 1, Endpoint: "late", Revision: 7, OpenedUnixNano: 2}
 	for _, test := range []struct {
 		records []carawaycart.FlowRecord
 		want    carawaycart.EndpointID
@@ -458,7 +458,7 @@
 	} {
 		r := flow.NewRecords()
 		for _, rec := range test.records {
-			r.Put(rec, start)
+			r.Merge(rec, start)
 		}
 		if got, _ := r.OwnerForPacket(1, start, false); got != test.want {
 			t.Errorf("%v: got %s, want %s", test.records, got, test.want)
--- a/core/limit/budget.go
+++ b/core/limit/budget.go
@@ -26,15 +26,15 @@
 // NewBudget returns a full budget that allows ratio retries per first attempt.
 func NewBudget(ratio float64) *Budget { return &Budget{ratio: ratio, tokens: maxBudgetTokens} }
 
-// Fresh records the first attempt at a request, which adds the ratio to the budget.
-func (b *Budget) Fresh() {
+// RecordRequest records the first attempt at a request, which adds the ratio to the budget.
+func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.ratio, maxBudgetTokens)
 }
 
-// Retry takes one retry from the budget and reports whether there was one.
-func (b *Budget) Retry() bool {
+// TryRetry takes one retry from the budget and reports whether there was one.
+func (b *Budget) TryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
@@ -55,9 +55,9 @@
 	return &Budgets{budgets: make(map[carawaycart.ServiceID]*Budget)}
 }
 
-// Of returns the budget of service id and sets its ratio to retryPercent retries per
+// For returns the budget of service id and sets its ratio to retryPercent retries per
 // hundred first attempts. The budget of a new service is full.
-func (b *Budgets) Of(id carawaycart.ServiceID, retryPercent int) *Budget {
+func (b *Budgets) For(id carawaycart.ServiceID, retryPercent int) *Budget {
 	ratio := float64(retryPercent) / percent
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/limit/limiter.go
+++ b/core/limit/limiter.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// reportTimeout is the age of the last report at which an endpoint becomes
+	// silenceTimeout is the age of the last report at which an endpoint becomes
 	// silent. Several reports are missing by then, so that a single lost one does
 	// not change the state.
-	reportTimeout = 3 * time.Second
+	silenceTimeout = 3 * time.Second
 
 	// propagationDelay is the time after which all instances have received a
 	// status.
@@ -30,9 +30,9 @@
 	deadThreshold = 2
 )
 
-// Gate limits the flows and requests admitted to one endpoint. It is safe for
+// Limiter limits the flows and requests admitted to one endpoint. It is safe for
 // concurrent use.
-type Gate struct {
+type Limiter struct {
 	mu       sync.Mutex
 	endpoint carawaycart.Endpoint
 	profile  carawaycart.Profile
@@ -42,7 +42,7 @@
 	guardedUntil   time.Time // earliest time at which the guard may be removed
 	spilloverStart time.Time // earliest time at which flows may be admitted to other endpoints
 
-	lastReport         carawaycart.Report
+	lastReport         carawaycart.LoadReport
 	lastReportAt       time.Time // arrival of lastReport, or the takeover by this keeper
 	refusedConnections int       // refused connections since the last report
 	flowsSinceReport   int       // flows admitted since the last report
@@ -56,16 +56,16 @@
 
 // permit is the use of one request slot by instance holder, until a deadline.
 type permit struct {
-	holder   carawaycart.InstanceID
+	instance carawaycart.InstanceID
 	deadline time.Time
 }
 
-// NewGate returns the limiter of endpoint e, whose keeper this instance became at
+// NewLimiter returns the limiter of endpoint e, whose keeper this instance became at
 // now. Inherited is the last status from the previous keeper; its version is zero if
 // there was none. If its state is not open, the whole cold allowance counts as used,
 // because the new keeper does not know how much of it is left.
-func NewGate(e carawaycart.Endpoint, p carawaycart.Profile, inherited carawaycart.EndpointStatus, now time.Time) *Gate {
-	l := &Gate{
+func NewLimiter(e carawaycart.Endpoint, p carawaycart.Profile, inherited carawaycart.EndpointStatus, now time.Time) *Limiter {
+	l := &Limiter{
 		endpoint:     e,
 		profile:      p,
 		state:        inherited.State,
@@ -89,16 +89,16 @@
 }
 
 // Configure replaces the endpoint and its profile.
-func (l *Gate) Configure(e carawaycart.Endpoint, p carawaycart.Profile) {
+func (l *Limiter) Configure(e carawaycart.Endpoint, p carawaycart.Profile) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.endpoint = e
 	l.profile = p
 }
 
-// Observe records a load report that arrived at now and updates the state of the
+// RecordReport records a load report that arrived at now and updates the state of the
 // endpoint. A warm-up starts when the state changes from cold or unknown to open.
-func (l *Gate) Observe(r carawaycart.Report, now time.Time) {
+func (l *Limiter) RecordReport(r carawaycart.LoadReport, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	wasCold := l.cold()
@@ -114,7 +114,7 @@
 		}
 		l.state = carawaycart.EndpointCold
 		l.warmupEnd = time.Time{}
-	case r.Shedding || r.Flows >= l.endpoint.Flows:
+	case r.Shedding || r.Flows >= l.endpoint.MaxFlows:
 		l.state = carawaycart.EndpointFull
 	default:
 		if wasCold {
@@ -127,15 +127,15 @@
 
 // cold reports whether the endpoint is in state cold, or in state unknown, which is
 // treated as cold.
-func (l *Gate) cold() bool {
+func (l *Limiter) cold() bool {
 	return l.state == carawaycart.EndpointCold || l.state == carawaycart.EndpointUnknown
 }
 
-// Missed records that a request for a load report failed at now. The endpoint
+// RecordFailure records that a request for a load report failed at now. The endpoint
 // becomes dead after deadThreshold refused connections since the last report, and
 // otherwise silent when that report is reportTimeout old. If connectionRefused is
 // true, no process listens at the endpoint's address.
-func (l *Gate) Missed(connectionRefused bool, now time.Time) {
+func (l *Limiter) RecordFailure(connectionRefused bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if connectionRefused {
@@ -144,16 +144,16 @@
 	switch {
 	case l.refusedConnections >= deadThreshold:
 		l.state = carawaycart.EndpointDead
-	case now.Sub(l.lastReportAt) >= reportTimeout && l.state != carawaycart.EndpointDead:
+	case now.Sub(l.lastReportAt) >= silenceTimeout && l.state != carawaycart.EndpointDead:
 		l.state = carawaycart.EndpointSilent
 	}
 }
 
-// Guard updates at now whether the endpoint is guarded, which means that packets of
+// UpdateGuard updates at now whether the endpoint is guarded, which means that packets of
 // its slots must pass through the keeper. If flowsElsewhere is true, other endpoints
 // own flows of those slots. The endpoint is guarded while it is not open or
 // flowsElsewhere is true, and for twice propagationDelay after that.
-func (l *Gate) Guard(flowsElsewhere bool, now time.Time) {
+func (l *Limiter) UpdateGuard(flowsElsewhere bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	needed := flowsElsewhere || l.state != carawaycart.EndpointOpen
@@ -170,7 +170,7 @@
 }
 
 // Status returns the state of the endpoint and whether it is guarded.
-func (l *Gate) Status() (carawaycart.EndpointState, bool) {
+func (l *Limiter) Status() (carawaycart.EndpointState, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state, l.guarded
@@ -179,7 +179,7 @@
 // LastReport returns the last load report and the time of its arrival. Before the
 // first one it returns the zero report and the time at which the limiter was
 // created.
-func (l *Gate) LastReport() (carawaycart.Report, time.Time) {
+func (l *Limiter) LastReport() (carawaycart.LoadReport, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastReport, l.lastReportAt
@@ -188,7 +188,7 @@
 // SpilloverStart returns the earliest time at which flows may be admitted to other
 // endpoints, because all instances then know that the endpoint is guarded. It
 // returns false if the endpoint is not guarded.
-func (l *Gate) SpilloverStart() (time.Time, bool) {
+func (l *Limiter) SpilloverStart() (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.spilloverStart, l.guarded
@@ -196,7 +196,7 @@
 
 // AdmitFlow reports whether the endpoint may receive a new flow at now, and counts
 // the flow if so.
-func (l *Gate) AdmitFlow(now time.Time) bool {
+func (l *Limiter) AdmitFlow(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.canAdmitFlow(now) {
@@ -208,15 +208,15 @@
 }
 
 // canAdmitFlow reports whether the limits allow one more flow at now.
-func (l *Gate) canAdmitFlow(now time.Time) bool {
+func (l *Limiter) canAdmitFlow(now time.Time) bool {
 	flows := l.lastReport.Flows + l.flowsSinceReport
 	switch l.state {
 	case carawaycart.EndpointUnknown, carawaycart.EndpointCold:
 		return l.flowsSinceCold < l.profile.ColdFlows
 	case carawaycart.EndpointOpen:
-		return flows < l.endpoint.Flows && !now.Before(l.shedUntil) && l.flowsSinceCold < l.warmupFlowLimit(now)
+		return flows < l.endpoint.MaxFlows && !now.Before(l.shedUntil) && l.flowsSinceCold < l.warmupFlowLimit(now)
 	case carawaycart.EndpointSilent:
-		return flows < l.endpoint.Flows
+		return flows < l.endpoint.MaxFlows
 	}
 	return false
 }
@@ -224,19 +224,19 @@
 // warmupFlowLimit returns the limit at now of flowsSinceCold during the warm-up. It
 // grows linearly with time from the cold allowance. There is no limit after the
 // warm-up, or if there was none.
-func (l *Gate) warmupFlowLimit(now time.Time) int {
+func (l *Limiter) warmupFlowLimit(now time.Time) int {
 	if !now.Before(l.warmupEnd) {
 		return int(^uint(0) >> 1)
 	}
 	span := l.warmupEnd.Sub(l.warmupStart)
 	elapsed := now.Sub(l.warmupStart)
-	return l.profile.ColdFlows + int(int64(l.endpoint.Flows)*int64(elapsed)/int64(span))
+	return l.profile.ColdFlows + int(int64(l.endpoint.MaxFlows)*int64(elapsed)/int64(span))
 }
 
-// Acquire grants permit id to holder until deadline if a request slot is free at
+// AcquirePermit grants permit id to holder until deadline if a request slot is free at
 // now, and reports whether it did. It returns true for a permit that is already
 // held, so that a call can be retried.
-func (l *Gate) Acquire(id carawaycart.PermitID, holder carawaycart.InstanceID, deadline, now time.Time) bool {
+func (l *Limiter) AcquirePermit(id carawaycart.PermitID, holder carawaycart.InstanceID, deadline, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, ok := l.permits[id]; ok {
@@ -246,31 +246,31 @@
 	if now.Before(l.permitsStart) || now.Before(l.shedUntil) || len(l.permits) >= l.requestLimit() {
 		return false
 	}
-	l.permits[id] = permit{holder: holder, deadline: deadline}
+	l.permits[id] = permit{instance: holder, deadline: deadline}
 	return true
 }
 
-// Register records a permit that a previous keeper granted. It does not check the
+// RegisterPermit records a permit that a previous keeper granted. It does not check the
 // limit of the endpoint.
-func (l *Gate) Register(id carawaycart.PermitID, holder carawaycart.InstanceID, deadline time.Time) {
+func (l *Limiter) RegisterPermit(id carawaycart.PermitID, holder carawaycart.InstanceID, deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.permits[id] = permit{holder: holder, deadline: deadline}
+	l.permits[id] = permit{instance: holder, deadline: deadline}
 }
 
 // requestLimit returns the number of request slots that may be in use.
-func (l *Gate) requestLimit() int {
+func (l *Limiter) requestLimit() int {
 	switch l.state {
 	case carawaycart.EndpointUnknown, carawaycart.EndpointCold:
-		return min(l.profile.ColdRequests, l.endpoint.Slots)
+		return min(l.profile.ColdRequests, l.endpoint.RequestSlots)
 	case carawaycart.EndpointDead:
 		return 0
 	}
-	return l.endpoint.Slots
+	return l.endpoint.RequestSlots
 }
 
 // expirePermits deletes the permits whose deadline has passed at now.
-func (l *Gate) expirePermits(now time.Time) {
+func (l *Limiter) expirePermits(now time.Time) {
 	for id, p := range l.permits {
 		if !now.Before(p.deadline) {
 			delete(l.permits, id)
@@ -278,9 +278,9 @@
 	}
 }
 
-// Release frees the request slot of permit id at now. If shed is true, the endpoint
+// ReleasePermit frees the request slot of permit id at now. If shed is true, the endpoint
 // refused the request because it was overloaded, and the backoff starts.
-func (l *Gate) Release(id carawaycart.PermitID, shed bool, now time.Time) {
+func (l *Limiter) ReleasePermit(id carawaycart.PermitID, shed bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.permits, id)
@@ -291,7 +291,7 @@
 
 // PermitCount returns the number of permits held, including expired ones that have
 // not been deleted yet.
-func (l *Gate) PermitCount() int {
+func (l *Limiter) PermitCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.permits)
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -138,10 +138,10 @@
 	return time.Time{}
 }
 
-// Suspect marks instance id as suspect, because it did not answer a probe at now.
+// MarkSuspect marks instance id as suspect, because it did not answer a probe at now.
 // It ignores the instance itself, unknown instances, and those that are suspect,
 // left or dead already.
-func (t *Table) Suspect(id carawaycart.InstanceID, now time.Time) {
+func (t *Table) MarkSuspect(id carawaycart.InstanceID, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[id]
@@ -172,9 +172,9 @@
 	}
 }
 
-// TakeNews removes the queued updates and returns them in the order in which they
+// PopUpdates removes the queued updates and returns them in the order in which they
 // were made.
-func (t *Table) TakeNews() []carawaycart.Member {
+func (t *Table) PopUpdates() []carawaycart.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	updates := t.pending
--- a/core/member/table_test.go
+++ b/core/member/table_test.go
@@ -48,7 +48,7 @@
 	} {
 		table := member.NewTable(memberOf("a1", 1, carawaycart.MemberReady))
 		table.Merge(memberOf("b1", 1, carawaycart.MemberReady), start)
-		table.Suspect("b1", start)
+		table.MarkSuspect("b1", start)
 		if test.refute {
 			table.Merge(memberOf("b1", 2, carawaycart.MemberReady), start)
 		}
@@ -63,13 +63,13 @@
 // its peers, or it would remain excluded.
 func TestMergeRefutesOwnDeath(t *testing.T) {
 	table := member.NewTable(memberOf("a1", 5, carawaycart.MemberReady))
-	table.TakeNews()
+	table.PopUpdates()
 	table.Merge(memberOf("a1", 5, carawaycart.MemberDead), start)
 	self := table.Self()
 	if self.State != carawaycart.MemberReady || self.Incarnation <= 5 {
 		t.Errorf("got state %s in incarnation %d, want ready in one after 5", self.State, self.Incarnation)
 	}
-	if updates := table.TakeNews(); len(updates) != 1 || updates[0].ID != "a1" {
+	if updates := table.PopUpdates(); len(updates) != 1 || updates[0].ID != "a1" {
 		t.Errorf("got queued updates %v, want the refutation", updates)
 	}
 }
@@ -109,7 +109,7 @@
 	})
 }
 
-func fullDuty(carawaycart.ZoneID) member.Duty { return member.DutyFull }
+func fullDuty(carawaycart.ZoneID) member.Eligibility { return member.KeeperEligible }
 
 // twelveMembers returns three ready instances in each of four zones, za to zd.
 func twelveMembers() []carawaycart.Member {
@@ -174,27 +174,27 @@
 // Instances of zones that are out must not be holders, and those of zones that
 // returned to service not yet keepers, unless no instance could then be keeper.
 func TestDuties(t *testing.T) {
-	duty := func(d member.Duty) func(carawaycart.ZoneID) member.Duty {
-		return func(z carawaycart.ZoneID) member.Duty {
+	duty := func(d member.Eligibility) func(carawaycart.ZoneID) member.Eligibility {
+		return func(z carawaycart.ZoneID) member.Eligibility {
 			if z == "za" {
 				return d
 			}
-			return member.DutyFull
+			return member.KeeperEligible
 		}
 	}
 	for _, test := range []struct {
 		name         string
-		duty         func(carawaycart.ZoneID) member.Duty
+		duty         func(carawaycart.ZoneID) member.Eligibility
 		ready, total int
 	}{
-		{"zone in service", duty(member.DutyFull), 12, 12},
-		{"zone returned to service", duty(member.DutyReplica), 9, 12},
-		{"zone out", duty(member.DutyNone), 9, 9},
-		{"all zones out", func(carawaycart.ZoneID) member.Duty { return member.DutyNone }, 12, 12},
+		{"zone in service", duty(member.KeeperEligible), 12, 12},
+		{"zone returned to service", duty(member.ReplicaEligible), 9, 12},
+		{"zone out", duty(member.Ineligible), 9, 9},
+		{"all zones out", func(carawaycart.ZoneID) member.Eligibility { return member.Ineligible }, 12, 12},
 	} {
 		v := member.NewView(twelveMembers(), test.duty)
-		if len(v.Ready()) != test.ready || v.Len() != test.total {
-			t.Errorf("%s: got %d of %d instances that can be keeper, want %d of %d", test.name, len(v.Ready()), v.Len(), test.ready, test.total)
+		if len(v.KeeperCandidates()) != test.ready || v.Len() != test.total {
+			t.Errorf("%s: got %d of %d instances that can be keeper, want %d of %d", test.name, len(v.KeeperCandidates()), v.Len(), test.ready, test.total)
 		}
 	}
 }
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -38,9 +38,9 @@
 // Holders names the instances that hold the state of one object, such as an
 // endpoint.
 type Holders struct {
-	Keeper   carawaycart.InstanceID // empty if no instance can be keeper
-	Replicas [MaxReplicas]carawaycart.InstanceID
-	Count    int // number of Replicas in use
+	Keeper       carawaycart.InstanceID // empty if no instance can be keeper
+	Replicas     [MaxReplicas]carawaycart.InstanceID
+	ReplicaCount int // number of Replicas in use
 	// scoreFloor is the score that a peer outside the holders must reach for a
 	// change of that peer to alter them.
 	scoreFloor uint64
@@ -52,52 +52,52 @@
 
 // Contains reports whether id is the keeper or a replica.
 func (h *Holders) Contains(id carawaycart.InstanceID) bool {
-	return h.Keeper == id || slices.Contains(h.Replicas[:h.Count], id)
+	return h.Keeper == id || slices.Contains(h.Replicas[:h.ReplicaCount], id)
 }
 
 // add appends id to the replicas unless it is empty, already a holder, or there
 // are MaxReplicas.
 func (h *Holders) add(id carawaycart.InstanceID) {
-	if id == "" || h.Contains(id) || h.Count == MaxReplicas {
+	if id == "" || h.Contains(id) || h.ReplicaCount == MaxReplicas {
 		return
 	}
-	h.Replicas[h.Count] = id
-	h.Count++
+	h.Replicas[h.ReplicaCount] = id
+	h.ReplicaCount++
 }
 
-// Duty is the role that the instances of a zone may have for an object.
-type Duty uint8
+// Eligibility is the role that the instances of a zone may have for an object.
+type Eligibility uint8
 
 // The duties, each with the roles that it allows.
 const (
-	DutyFull    Duty = iota // keeper or replica
-	DutyReplica             // replica only
-	DutyNone                // neither
+	KeeperEligible  Eligibility = iota // keeper or replica
+	ReplicaEligible                    // replica only
+	Ineligible                         // neither
 )
 
 // NewView returns the view of the members that are ready or joining, restricted
 // to the duties of their zones. If no instance could then be keeper, it ignores
 // the duties. Joining instances are replicas only.
-func NewView(members []carawaycart.Member, duty func(carawaycart.ZoneID) Duty) *View {
+func NewView(members []carawaycart.Member, duty func(carawaycart.ZoneID) Eligibility) *View {
 	v := newView(members, duty)
 	if len(v.keeperCandidates) == 0 {
-		v = newView(members, func(carawaycart.ZoneID) Duty { return DutyFull })
+		v = newView(members, func(carawaycart.ZoneID) Eligibility { return KeeperEligible })
 	}
 	return v
 }
 
 // newView returns the view that NewView does, without the exception for duties that
 // leave no keeper.
-func newView(members []carawaycart.Member, duty func(carawaycart.ZoneID) Duty) *View {
+func newView(members []carawaycart.Member, duty func(carawaycart.ZoneID) Eligibility) *View {
 	v := &View{id: lastViewID.Add(1)}
 	for _, m := range members {
 		d := duty(m.Zone)
 		participates := m.State == carawaycart.MemberReady || m.State == carawaycart.MemberJoining
-		if d == DutyNone || !participates {
+		if d == Ineligible || !participates {
 			continue
 		}
 		p := Peer{ID: m.ID, Zone: m.Zone, Address: m.PeerAddress, name: rendezvous.NewName(string(m.ID))}
-		if d == DutyFull && m.State == carawaycart.MemberReady {
+		if d == KeeperEligible && m.State == carawaycart.MemberReady {
 			v.keeperCandidates = append(v.keeperCandidates, p)
 		} else {
 			v.replicaOnly = append(v.replicaOnly, p)
@@ -109,15 +109,15 @@
 	return v
 }
 
-// Ready returns the instances that can be keepers, ordered by ID; the slice must
+// KeeperCandidates returns the instances that can be keepers, ordered by ID; the slice must
 // not be modified. It omits ready instances whose zones allow no keeper.
-func (v *View) Ready() []Peer { return v.keeperCandidates }
+func (v *View) KeeperCandidates() []Peer { return v.keeperCandidates }
 
 // Len returns the number of instances in the view.
 func (v *View) Len() int { return len(v.keeperCandidates) + len(v.replicaOnly) }
 
-// HasZone reports whether zone has an instance that can be keeper.
-func (v *View) HasZone(zone carawaycart.ZoneID) bool {
+// HasKeeperCandidate reports whether zone has an instance that can be keeper.
+func (v *View) HasKeeperCandidate(zone carawaycart.ZoneID) bool {
 	return slices.ContainsFunc(v.keeperCandidates, func(p Peer) bool { return p.Zone == zone })
 }
 
@@ -223,7 +223,7 @@
 // certainly the holders of key in v too. It returns false unless old is the
 // previous view of v, and takes time linear in the number of changed peers.
 func (v *View) HoldersUnchanged(old *View, h *Holders, key rendezvous.Key) bool {
-	if v.previous != old.id || h.Keeper == "" || h.Count < minReplicasForFloor {
+	if v.previous != old.id || h.Keeper == "" || h.ReplicaCount < minReplicasForFloor {
 		return false
 	}
 	for i := range v.differing {
--- a/core/slot/table.go
+++ b/core/slot/table.go
@@ -138,8 +138,8 @@
 	return compact(t)
 }
 
-// Dirty returns the number of slots of t whose base is not their current endpoint.
-func Dirty(t carawaycart.SlotTable) int {
+// DirtyCount returns the number of slots of t whose base is not their current endpoint.
+func DirtyCount(t carawaycart.SlotTable) int {
 	n := 0
 	for i := range t.Base {
 		if t.Base[i] != t.Current[i] {
--- a/core/slot/table_test.go
+++ b/core/slot/table_test.go
@@ -69,7 +69,7 @@
 	if want := slotCounts(before)["e13"]; moved != want {
 		t.Errorf("got %d slots moved, want the %d of the removed endpoint", moved, want)
 	}
-	if dirty := slot.Dirty(after); dirty != moved {
+	if dirty := slot.DirtyCount(after); dirty != moved {
 		t.Errorf("got %d dirty slots, want the %d that moved", dirty, moved)
 	}
 }
@@ -125,13 +125,13 @@
 	for i := range all {
 		all[i] = carawaycart.SlotIndex(i)
 	}
-	dirty := slot.Dirty(table)
-	if got := slot.Dirty(slot.ReplaceBase(table, "e01", "e00", all)); got != dirty {
+	dirty := slot.DirtyCount(table)
+	if got := slot.DirtyCount(slot.ReplaceBase(table, "e01", "e00", all)); got != dirty {
 		t.Errorf("got %d dirty slots after a replacement whose endpoints no slot has, want %d", got, dirty)
 	}
 	table = slot.ReplaceBase(table, "e02", "e00", all)
 	table = slot.ReplaceBase(table, "e02", "e01", append(all, 5000))
-	if got := slot.Dirty(table); got != 0 {
+	if got := slot.DirtyCount(table); got != 0 {
 		t.Errorf("got %d dirty slots, want 0", got)
 	}
 }
--- a/core/steer/admission.go
+++ b/core/steer/admission.go
@@ -329,10 +329,10 @@
 
 // Overload is the state of the Admission of a service.
 type Overload struct {
-	Service carawaycart.ServiceID
-	Slow    float64 // share of the requests that are slow, smoothed
-	Level   float64 // share of the new flows of the less urgent classes that is refused
-	Urgent  float64 // share of the new flows of the most urgent class that is refused
+	Service            carawaycart.ServiceID
+	SlowShare          float64 // share of the requests that are slow, smoothed
+	RefusedShare       float64 // share of the new flows of the less urgent classes that is refused
+	UrgentRefusedShare float64 // share of the new flows of the most urgent class that is refused
 }
 
 // report returns the state of a, without Service, and whether it is to be reported to
@@ -346,5 +346,5 @@
 		return Overload{}, false
 	}
 	a.refusing, a.reportedAt = refusing, now
-	return Overload{Slow: a.slowShare, Level: a.refusedShare, Urgent: a.urgentRefusedShare}, true
+	return Overload{SlowShare: a.slowShare, RefusedShare: a.refusedShare, UrgentRefusedShare: a.urgentRefusedShare}, true
 }
--- a/core/steer/candidate.go
+++ b/core/steer/candidate.go
@@ -2,10 +2,10 @@
 
 // Candidate is the state of an endpoint that decides whether it gets a new flow.
 type Candidate struct {
-	Outstanding int  // number of requests and first packets that wait for an answer
-	Open        int  // number of open flows
-	Slots       int  // number of requests that it processes concurrently
-	SameZone    bool // whether it is in the zone of the instance that places the flow
+	Outstanding  int  // number of requests and first packets that wait for an answer
+	Open         int  // number of open flows
+	RequestSlots int  // number of requests that it processes concurrently
+	SameZone     bool // whether it is in the zone of the instance that places the flow
 	// Avoided reports whether packets to it were unanswered lately. After a time, it
 	// is avoided only while a first packet to it waits for an answer.
 	Avoided     bool
@@ -28,7 +28,7 @@
 
 // cost returns the cost of placing a new flow at c; lower is better.
 func (c *Candidate) cost() float64 {
-	cost := (float64(c.Outstanding) + openWeight*float64(c.Open)) / float64(max(c.Slots, 1))
+	cost := (float64(c.Outstanding) + openWeight*float64(c.Open)) / float64(max(c.RequestSlots, 1))
 	if !c.SameZone {
 		cost += remoteWeight
 	}
--- a/core/steer/candidate_test.go
+++ b/core/steer/candidate_test.go
@@ -10,7 +10,7 @@
 
 // Checks the order in which candidates are preferred.
 func TestChoose(t *testing.T) {
-	good := steer.Candidate{Slots: 2, SameZone: true}
+	good := steer.Candidate{RequestSlots: 2, SameZone: true}
 	with := func(change func(*steer.Candidate)) steer.Candidate {
 		c := good
 		change(&c)
@@ -58,7 +58,7 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	candidates := make([]steer.Candidate, 14)
 	for i := range candidates {
-		candidates[i] = steer.Candidate{Slots: 2, SameZone: true}
+		candidates[i] = steer.Candidate{RequestSlots: 2, SameZone: true}
 	}
 	for range 1400 {
 		candidates[steer.Choose(candidates, random.IntN)].Open++
@@ -73,7 +73,7 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	candidates := make([]steer.Candidate, 120)
 	for i := range candidates {
-		candidates[i] = steer.Candidate{Slots: 2, SameZone: i%5 == 0, Open: i % 7}
+		candidates[i] = steer.Candidate{RequestSlots: 2, SameZone: i%5 == 0, Open: i % 7}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/core/steer/cold.go
+++ b/core/steer/cold.go
@@ -13,10 +13,10 @@
 // closer together than they were forwarded.
 const coldMargin = 150 * time.Millisecond
 
-// coldBoundDivisor divides the rate of new flows that a cold endpoint can bear.
+// coldLimitDivisor divides the rate of new flows that a cold endpoint can bear.
 // Instances that know different members of the fleet thus stay within the rate in
 // total.
-const coldBoundDivisor = 2
+const coldLimitDivisor = 2
 
 // ColdShare is the limit of the new flows that one instance may forward to a cold
 // endpoint. The zero value allows none.
@@ -32,7 +32,7 @@
 // members, counted from zero, decides which shares are rounded up; a negative rank
 // gets none.
 func NewColdShare(bound float64, members, rank int) ColdShare {
-	total := int(bound / coldBoundDivisor)
+	total := int(bound / coldLimitDivisor)
 	if members <= 0 || total <= 0 || rank < 0 {
 		return ColdShare{}
 	}
--- a/core/steer/cold_test.go
+++ b/core/steer/cold_test.go
@@ -40,7 +40,7 @@
 		instances := rapid.IntRange(1, 24).Draw(t, "instances")
 		f := newFleet(instances, 3)
 		cold := f.contents.Lifetimes[0]
-		cold.ColdLeft = 10 * time.Second
+		cold.ColdRemaining = 10 * time.Second
 		f.contents.Revisions = map[carawaycart.LifetimeKey]carawaycart.StoreRevision{cold.Key(): 9}
 		f.update(start)
 		if rapid.Bool().Draw(t, "views differ") {
@@ -74,7 +74,7 @@
 	f := newFleet(2, 4)
 	f.contents.Revisions = make(map[carawaycart.LifetimeKey]carawaycart.StoreRevision)
 	for _, l := range f.contents.Lifetimes {
-		l.ColdLeft = 10 * time.Second
+		l.ColdRemaining = 10 * time.Second
 		f.contents.Revisions[l.Key()] = 9
 	}
 	f.update(start)
--- a/core/steer/endpoint.go
+++ b/core/steer/endpoint.go
@@ -32,7 +32,7 @@
 // newEndpoint returns the endpoint for the lifetime s at now. The argument previous is
 // the endpoint of the same lifetime in the preceding table, or nil, and returned tells
 // whether its zone was out in that table and no longer is.
-func newEndpoint(s *directory.Seen, previous *endpoint, returned bool, now time.Time) *endpoint {
+func newEndpoint(s *directory.TrackedLifetime, previous *endpoint, returned bool, now time.Time) *endpoint {
 	e := &endpoint{lifetime: s.Lifetime, presence: s.Presence, coldUntil: s.ColdUntil}
 	if previous != nil {
 		e.state, e.zoneReturnColdUntil = previous.state, previous.zoneReturnColdUntil
@@ -55,7 +55,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := Candidate{
-		Outstanding: s.opening + s.waiting, Open: s.open, Slots: e.lifetime.Slots,
+		Outstanding: s.opening + s.waiting, Open: s.open, RequestSlots: e.lifetime.RequestSlots,
 		SameZone: e.lifetime.Zone == zone, Lapsed: e.presence == directory.Lapsed,
 		Avoided: s.timeouts > 0 && (now.Before(s.avoidUntil) || s.opening > 0),
 		Silent:  s.silent, Failing: s.outcomeCounts.failing(now),
--- a/core/steer/explain.go
+++ b/core/steer/explain.go
@@ -35,7 +35,7 @@
 		views = append(views, e.view(r.zone, now))
 	}
 	slices.SortFunc(views, func(a, b EndpointView) int {
-		return cmp.Or(cmp.Compare(a.Lifetime.ID, b.Lifetime.ID), cmp.Compare(a.Lifetime.Born, b.Lifetime.Born))
+		return cmp.Or(cmp.Compare(a.Lifetime.ID, b.Lifetime.ID), cmp.Compare(a.Lifetime.StartedAt, b.Lifetime.StartedAt))
 	})
 	return views
 }
@@ -52,7 +52,7 @@
 // that the instance has neither a route for the flow nor a record of it.
 type FlowView struct {
 	Routed   bool         // whether the configuration has a route for its service address
-	Seen     bool         // whether the instance has a record of the flow
+	Tracked  bool         // whether the instance has a record of the flow
 	Endpoint EndpointView // endpoint of the record; this and the fields below are zero without one
 	Opened   time.Time    // when the record of the flow was created
 	Waiting  bool         // whether a request is unanswered
@@ -71,7 +71,7 @@
 	s := r.flows.lockShard(id)
 	defer s.mu.Unlock()
 	if f := s.flows[id]; f != nil {
-		v.Seen, v.Opened, v.Waiting, v.Tried = true, f.openedAt, f.waiting, len(f.tried)+1
+		v.Tracked, v.Opened, v.Waiting, v.Tried = true, f.openedAt, f.waiting, len(f.tried)+1
 		v.Endpoint = f.endpoint.view(r.zone, now)
 	}
 	return v
--- a/core/steer/fixture_test.go
+++ b/core/steer/fixture_test.go
@@ -34,8 +34,8 @@
 	return &events{refused: make(map[carawaycart.Cause]int), silentEndpoints: make(map[carawaycart.EndpointID]bool)}
 }
 
-func (e *events) Placed(_ *carawaycart.FlowKey, _ carawaycart.EndpointID, _ *steer.Candidate, how steer.Placing) {
-	if how.Hedge > 0 {
+func (e *events) Placed(_ *carawaycart.FlowKey, _ carawaycart.EndpointID, _ *steer.Candidate, how steer.Placement) {
+	if how.EndpointsTried > 0 {
 		e.hedged++
 	}
 }
@@ -44,11 +44,15 @@
 	e.refused[c]++
 }
 func (e *events) Avoided(carawaycart.EndpointID, string, time.Duration) { e.avoided++ }
-func (e *events) Doubted(l *carawaycart.Lifetime)                       { e.probeRequests = append(e.probeRequests, l.ID) }
+func (e *events) ProbeRequested(l *carawaycart.Lifetime) {
+	e.probeRequests = append(e.probeRequests, l.ID)
+}
 
-func (e *events) Silenced(id carawaycart.EndpointID, silent bool) { e.silentEndpoints[id] = silent }
+func (e *events) SilenceChanged(id carawaycart.EndpointID, silent bool) {
+	e.silentEndpoints[id] = silent
+}
 
-func (e *events) Failing(o []steer.Outcomes) { e.failing = append(e.failing, o...) }
+func (e *events) RequestsFailed(o []steer.Outcomes) { e.failing = append(e.failing, o...) }
 
 func (e *events) Overloaded(o steer.Overload)      { e.overloads = append(e.overloads, o) }
 func (e *events) Recovered(carawaycart.EndpointID) {}
@@ -57,7 +61,7 @@
 // from.
 type fleet struct {
 	contents directory.Contents
-	roster   *directory.Roster
+	roster   *directory.LifetimeTracker
 	revision carawaycart.StoreRevision
 	zones    []carawaycart.ZoneID
 	routers  []*steer.Router
@@ -67,25 +71,25 @@
 // newFleet returns routers in two zones in front of one service with the given number
 // of warm endpoints, which are distributed over the zones.
 func newFleet(instances, endpoints int) *fleet {
-	f := &fleet{roster: directory.NewRoster(), zones: []carawaycart.ZoneID{"a", "b"}}
+	f := &fleet{roster: directory.NewLifetimeTracker(), zones: []carawaycart.ZoneID{"a", "b"}}
 	f.contents.Config = &carawaycart.RouteConfig{
 		Version: 1,
 		Routes: []carawaycart.Route{
 			{
-				Address: feed, Kind: carawaycart.RequestSafe, Priority: 2, Target: 100 * time.Millisecond,
+				Address: feed, Kind: carawaycart.RequestSafe, Priority: 2, TargetLatency: 100 * time.Millisecond,
 				Targets: []carawaycart.RouteTarget{{Service: "desk", Weight: 1}},
 			},
 			{
-				Address: order, Kind: carawaycart.RequestUnsafe, Priority: 1, Target: 120 * time.Millisecond,
+				Address: order, Kind: carawaycart.RequestUnsafe, Priority: 1, TargetLatency: 120 * time.Millisecond,
 				Targets: []carawaycart.RouteTarget{{Service: "desk", Weight: 1}},
 			},
 		},
-		Services: []carawaycart.ServicePolicy{{ID: "desk", HealthPath: "/health", ColdPerSecond: 4}},
+		Services: []carawaycart.ServicePolicy{{ID: "desk", HealthPath: "/health", ColdRequestRate: 4}},
 	}
 	for i := range endpoints {
 		f.contents.Lifetimes = append(f.contents.Lifetimes, &carawaycart.Lifetime{
-			ID: carawaycart.EndpointID(fmt.Sprintf("i-%02x", i+1)), Born: 5, Number: carawaycart.HostNumber(i + 1), Service: "desk",
-			Zone: f.zones[i%2], Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80), Slots: 2,
+			ID: carawaycart.EndpointID(fmt.Sprintf("i-%02x", i+1)), StartedAt: 5, Number: carawaycart.EndpointNumber(i + 1), Service: "desk",
+			Zone: f.zones[i%2], Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80), RequestSlots: 2,
 		})
 	}
 	for i := range instances {
@@ -109,7 +113,7 @@
 // update builds new tables from the contents for all routers at now.
 func (f *fleet) update(now time.Time) {
 	f.revision++
-	f.roster.Update(&f.contents, now)
+	f.roster.ApplyContents(&f.contents, now)
 	for i := range f.routers {
 		f.setTable(i, f.contents.Instances, now)
 	}
@@ -121,8 +125,8 @@
 	c := f.contents
 	c.Instances = members
 	f.routers[i].SetTable(steer.NewTable(&steer.Input{
-		Contents: c, Revision: f.revision, Roster: f.roster, Self: f.contents.Instances[i].ID,
-		Limits: steer.Limits{ColdOverrun: 1.5, ColdSlack: 5},
+		Contents: c, Revision: f.revision, Lifetimes: f.roster, Self: f.contents.Instances[i].ID,
+		Limits: steer.ColdLimits{ColdOverrun: 1.5, ColdSlack: 5},
 	}, f.routers[i].Table(), now))
 }
 
@@ -165,7 +169,7 @@
 // request returns the caller's first request on an open flow.
 func request(flow int, service netip.AddrPort, t carawaycart.Token) *carawaycart.Packet {
 	p := acknowledgement(flow, service, t)
-	p.DataBytes = 200
+	p.PayloadBytes = 200
 	return p
 }
 
--- a/core/steer/outcomes.go
+++ b/core/steer/outcomes.go
@@ -169,12 +169,12 @@
 		o.Token = token
 		outcomes = append(outcomes, o)
 	}
-	r.observer.Failing(outcomes)
+	r.observer.RequestsFailed(outcomes)
 }
 
-// TakeOutcomes merges at now the outcomes from one report of a peer. It merges at most
+// MergeOutcomes merges at now the outcomes from one report of a peer. It merges at most
 // maxPeerFailures failed requests per endpoint and ignores unknown tokens.
-func (r *Router) TakeOutcomes(outcomes []Outcomes, now time.Time) {
+func (r *Router) MergeOutcomes(outcomes []Outcomes, now time.Time) {
 	t := r.table.Load()
 	if t == nil {
 		return
--- a/core/steer/outcomes_test.go
+++ b/core/steer/outcomes_test.go
@@ -44,7 +44,7 @@
 		for from, e := range f.events {
 			for to, r := range f.routers {
 				if to != from && to%2 == from%2 { // the same zone
-					r.TakeOutcomes(e.failing, now)
+					r.MergeOutcomes(e.failing, now)
 				}
 			}
 			e.failing = nil
@@ -61,7 +61,7 @@
 	f := newFleet(1, 2)
 	d := mustForward(t, f.routers[0].Decide(first(1, feed), start))
 	report := []steer.Outcomes{{Token: d.Token, Failed: 1000}}
-	f.routers[0].TakeOutcomes(report, start)
+	f.routers[0].MergeOutcomes(report, start)
 	if got := f.serve(t, 0, 2, start.Add(time.Second), func(carawaycart.EndpointID) bool { return false }); got != "i-01" {
 		t.Errorf("got %s, want i-01 in the zone of the instance", got)
 	}
--- a/core/steer/router.go
+++ b/core/steer/router.go
@@ -27,7 +27,7 @@
 type Observer interface {
 	// Placed is called when an endpoint with state c is chosen for the first packet of
 	// a flow, also if the packet was sent to other endpoints before.
-	Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *Candidate, how Placing)
+	Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *Candidate, how Placement)
 	// Refused is called when a packet is not forwarded because of c. The flow is reset
 	// if reset is true. The revision is that of the table, zero if it is not complete.
 	Refused(p *carawaycart.Packet, c carawaycart.Cause, reset bool, revision carawaycart.StoreRevision)
@@ -35,14 +35,14 @@
 	// answer a packet. The packet is a first packet if what is "first", or data if what
 	// is "data".
 	Avoided(e carawaycart.EndpointID, what string, period time.Duration)
-	// Doubted is called when the endpoint of l is to be probed.
-	Doubted(l *carawaycart.Lifetime)
-	// Silenced is called when a probe shows that an endpoint has become silent or
+	// ProbeRequested is called when the endpoint of l is to be probed.
+	ProbeRequested(l *carawaycart.Lifetime)
+	// SilenceChanged is called when a probe shows that an endpoint has become silent or
 	// answers again.
-	Silenced(e carawaycart.EndpointID, silent bool)
-	// Failing is called with the outcomes since the last call of endpoints that left
+	SilenceChanged(e carawaycart.EndpointID, silent bool)
+	// RequestsFailed is called with the outcomes since the last call of endpoints that left
 	// requests unanswered.
-	Failing(outcomes []Outcomes)
+	RequestsFailed(outcomes []Outcomes)
 	// Overloaded is called when refusals of new flows of a service begin or end, and
 	// periodically in between.
 	Overloaded(o Overload)
@@ -90,7 +90,7 @@
 // whether its request was run.
 func (r *Router) Decide(p *carawaycart.Packet, now time.Time) carawaycart.Decision {
 	t := r.table.Load()
-	if !t.Complete() {
+	if !t.HasConfig() {
 		return r.refuse(p, carawaycart.CauseNotReady, false, 0)
 	}
 	id := newFlowID(&p.Key)
@@ -107,7 +107,7 @@
 		return r.refuse(p, carawaycart.CauseUnknownToken, false, t.Revision)
 	case e.presence == directory.Ended:
 		return r.refuse(p, carawaycart.CauseEnded, true, t.Revision)
-	case p.DataBytes > 0 && route.repeatable && e.state.isSilent():
+	case p.PayloadBytes > 0 && route.repeatable && e.state.isSilent():
 		return r.refuse(p, carawaycart.CauseSilent, true, t.Revision)
 	}
 	r.trackPacket(id, p, route, e, now)
@@ -163,7 +163,7 @@
 	if refused {
 		return r.refuse(p, carawaycart.CauseOverload, true, t.Revision)
 	}
-	e, cause := r.place(t, to, &p.Key, p.Copy, tried, now)
+	e, cause := r.place(t, to, &p.Key, p.Retransmissions, tried, now)
 	if e == nil {
 		return r.refuse(p, cause, true, t.Revision)
 	}
@@ -178,9 +178,9 @@
 	return forward(e)
 }
 
-// Patience returns the timeout for the answer to a first packet that is sent to an
+// FirstPacketTimeout returns the timeout for the answer to a first packet that is sent to an
 // endpoint in zone. It is estimated from earlier answers of this zone.
-func (r *Router) Patience(zone carawaycart.ZoneID) time.Duration {
+func (r *Router) FirstPacketTimeout(zone carawaycart.ZoneID) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.estimatorFor(zone).timeout(initialFirstPacketTimeout, minFirstPacketTimeout, maxFirstPacketTimeout)
@@ -265,18 +265,18 @@
 		}
 		return nil, carawaycart.CauseNoEndpoint
 	}
-	r.observer.Placed(key, endpoints[i].lifetime.ID, &r.candidates[i], Placing{
-		Copy: copyNumber, Hedge: len(tried), Candidates: len(endpoints), Revision: t.Revision,
+	r.observer.Placed(key, endpoints[i].lifetime.ID, &r.candidates[i], Placement{
+		Retransmissions: copyNumber, EndpointsTried: len(tried), Candidates: len(endpoints), Revision: t.Revision,
 	})
 	return endpoints[i], carawaycart.CauseNone
 }
 
-// Placing describes the circumstances under which an endpoint was chosen for a flow.
-type Placing struct {
-	Copy       int                       // number of times that the caller had sent the first packet before; zero for a hedge
-	Hedge      int                       // number of times that the first packet was sent to an endpoint before
-	Candidates int                       // number of endpoints to choose from, including excluded ones
-	Revision   carawaycart.StoreRevision // revision of the table
+// Placement describes the circumstances under which an endpoint was chosen for a flow.
+type Placement struct {
+	Retransmissions int                       // number of times that the caller had sent the first packet before; zero for a hedge
+	EndpointsTried  int                       // number of times that the first packet was sent to an endpoint before
+	Candidates      int                       // number of endpoints to choose from, including excluded ones
+	Revision        carawaycart.StoreRevision // revision of the table
 }
 
 // routeTarget returns a random target of t, chosen by weight among those that have
@@ -319,14 +319,14 @@
 		r.observer.Avoided(e.lifetime.ID, what, period)
 	}
 	if probe {
-		r.observer.Doubted(&e.lifetime)
+		r.observer.ProbeRequested(&e.lifetime)
 	}
 }
 
-// Probed records at now the outcome of a probe that began at began; alive tells whether
+// RecordProbe records at now the outcome of a probe that began at began; alive tells whether
 // it was answered. It reports whether the endpoint is to be probed again and whether
 // this probe made it silent. Probes of unknown or ended lifetimes are ignored.
-func (r *Router) Probed(key carawaycart.LifetimeKey, alive bool, began, now time.Time) (again, silent bool) {
+func (r *Router) RecordProbe(key carawaycart.LifetimeKey, alive bool, began, now time.Time) (again, silent bool) {
 	t := r.table.Load()
 	if t == nil || t.byKey[key] == nil || t.byKey[key].presence == directory.Ended {
 		return false, false
@@ -334,7 +334,7 @@
 	e := t.byKey[key]
 	changed := e.state.recordProbe(alive, began, now)
 	if changed {
-		r.observer.Silenced(e.lifetime.ID, !alive)
+		r.observer.SilenceChanged(e.lifetime.ID, !alive)
 	}
 	return e.state.needsProbe(), changed && !alive
 }
@@ -359,15 +359,15 @@
 	return !found
 }
 
-// Doubt requests a probe of the endpoint with the given token, which a peer has found
+// RequestProbe requests a probe of the endpoint with the given token, which a peer has found
 // silent. It does nothing if the endpoint is unknown, ended or already silent.
-func (r *Router) Doubt(token carawaycart.Token) {
+func (r *Router) RequestProbe(token carawaycart.Token) {
 	t := r.table.Load()
 	if t == nil {
 		return
 	}
 	if e := t.byToken[token]; e != nil && e.presence != directory.Ended && !e.state.isSilent() {
-		r.observer.Doubted(&e.lifetime)
+		r.observer.ProbeRequested(&e.lifetime)
 	}
 }
 
@@ -384,7 +384,7 @@
 		f.phase, f.endpoint, f.sentAt = phaseUnanswered, e, f.openedAt
 	}
 	if f == nil || f.endpoint.state != e.state {
-		if p.DataBytes == 0 || p.Kind == carawaycart.PacketLast {
+		if p.PayloadBytes == 0 || p.Kind == carawaycart.PacketLast {
 			return
 		}
 		if f != nil {
@@ -435,7 +435,7 @@
 			}
 		}
 	}
-	if p.DataBytes == 0 {
+	if p.PayloadBytes == 0 {
 		return
 	}
 	if int32(p.Sequence-f.sequence) > 0 {
--- a/core/steer/router_test.go
+++ b/core/steer/router_test.go
@@ -15,19 +15,19 @@
 
 func (f tokenFleet) Instances() int { return len(f.routers) }
 
-func (f tokenFleet) First(instance, n int, now time.Time) carawaycart.Decision {
+func (f tokenFleet) OpenFlow(instance, n int, now time.Time) carawaycart.Decision {
 	return f.routers[instance].Decide(first(n, feed), now)
 }
 
-func (f tokenFleet) Later(instance, n int, d carawaycart.Decision, now time.Time) carawaycart.Decision {
+func (f tokenFleet) SendPacket(instance, n int, d carawaycart.Decision, now time.Time) carawaycart.Decision {
 	return f.routers[instance].Decide(acknowledgement(n, feed, d.Token), now)
 }
 
-func (f tokenFleet) Unknown(instance int, now time.Time) carawaycart.Decision {
+func (f tokenFleet) OpenToUnknownService(instance int, now time.Time) carawaycart.Decision {
 	return f.routers[instance].Decide(first(1, netip.MustParseAddrPort("198.18.9.9:1")), now)
 }
 
-func (f tokenFleet) Drain(e carawaycart.EndpointID, now time.Time) {
+func (f tokenFleet) MarkLeaving(e carawaycart.EndpointID, now time.Time) {
 	f.endpoint(e).Draining = true
 	f.update(now)
 }
@@ -67,7 +67,7 @@
 			return p
 		}, carawaycart.VerdictDrop, carawaycart.CauseEnded},
 		{"entry missing after a store failure", func(f *fleet, e carawaycart.EndpointID) {
-			f.roster.Trouble(start.Add(time.Second))
+			f.roster.RecordStoreFailure(start.Add(time.Second))
 			f.remove(e)
 		}, dataOf(feed), carawaycart.VerdictForward, carawaycart.CauseNone},
 		{
@@ -85,7 +85,7 @@
 			carawaycart.VerdictReset, carawaycart.CauseNoRoute,
 		},
 		{
-			"restarted owner with the same ID", func(f *fleet, e carawaycart.EndpointID) { f.endpoint(e).Born++ }, dataOf(feed),
+			"restarted owner with the same ID", func(f *fleet, e carawaycart.EndpointID) { f.endpoint(e).StartedAt++ }, dataOf(feed),
 			carawaycart.VerdictReset, carawaycart.CauseEnded,
 		},
 		{"no endpoint that takes flows", func(f *fleet, _ carawaycart.EndpointID) { f.contents.ZonesOut = f.zones }, func(carawaycart.Token) *carawaycart.Packet {
@@ -144,7 +144,7 @@
 	f := newFleet(1, 4)
 	unanswered := f.routers[0].Decide(first(1, feed), start).Endpoint
 	p := first(1, feed)
-	p.Copy = 1
+	p.Retransmissions = 1
 	if got := f.routers[0].Decide(p, start.Add(200*time.Millisecond)).Endpoint; got == unanswered {
 		t.Errorf("got %s again, which left the original first packet unanswered", got)
 	}
@@ -205,10 +205,10 @@
 	if len(f.events[i].probeRequests) == 0 {
 		t.Fatal("got no probe requested after two unanswered flows")
 	}
-	if again, silent := f.routers[i].Probed(l.Key(), false, now.Add(40*time.Millisecond), now.Add(190*time.Millisecond)); !again || silent {
+	if again, silent := f.routers[i].RecordProbe(l.Key(), false, now.Add(40*time.Millisecond), now.Add(190*time.Millisecond)); !again || silent {
 		t.Fatalf("got again %t, silent %t after one failed probe, want another probe", again, silent)
 	}
-	if _, silent := f.routers[i].Probed(l.Key(), false, now.Add(290*time.Millisecond), now.Add(440*time.Millisecond)); !silent {
+	if _, silent := f.routers[i].RecordProbe(l.Key(), false, now.Add(290*time.Millisecond), now.Add(440*time.Millisecond)); !silent {
 		t.Fatal("got the endpoint not silent after two failed probes")
 	}
 	for _, n := range f.contents.Lifetimes {
@@ -225,9 +225,9 @@
 	d := mustForward(t, r.Decide(first(1, feed), start))
 	key := f.endpoint(d.Endpoint).Key()
 	r.Decide(request(1, feed, d.Token), start.Add(8*time.Millisecond))
-	r.Probed(key, false, start.Add(100*time.Millisecond), start.Add(250*time.Millisecond))
+	r.RecordProbe(key, false, start.Add(100*time.Millisecond), start.Add(250*time.Millisecond))
 	r.Decide(answered(1, feed, d.Token), start.Add(300*time.Millisecond))
-	if _, silent := r.Probed(key, false, start.Add(350*time.Millisecond), start.Add(500*time.Millisecond)); silent {
+	if _, silent := r.RecordProbe(key, false, start.Add(350*time.Millisecond), start.Add(500*time.Millisecond)); silent {
 		t.Error("got the endpoint silent although it answered between two probes")
 	}
 	p := request(1, feed, d.Token)
@@ -261,7 +261,7 @@
 		if got := f.routers[0].Decide(first(2, feed), now); got.Endpoint == d.Endpoint {
 			t.Errorf("%s: got a new flow at the silent endpoint", test.name)
 		}
-		f.routers[0].Probed(f.endpoint(d.Endpoint).Key(), true, now, now)
+		f.routers[0].RecordProbe(f.endpoint(d.Endpoint).Key(), true, now, now)
 		if got := f.routers[0].Decide(request(1, test.service, d.Token), now.Add(time.Millisecond)); got.Verdict != carawaycart.VerdictForward {
 			t.Errorf("%s: got verdict %d after the endpoint answered a probe, want it forwarded", test.name, got.Verdict)
 		}
@@ -280,7 +280,7 @@
 	if d := f.routers[0].Decide(first(1, order), now); d.Verdict != carawaycart.VerdictReset || d.Cause != carawaycart.CauseSilent {
 		t.Errorf("got verdict %d for %s, want a reset for silent", d.Verdict, d.Cause)
 	}
-	f.routers[0].Probed(f.endpoint("i-02").Key(), true, now, now)
+	f.routers[0].RecordProbe(f.endpoint("i-02").Key(), true, now, now)
 	if d := f.routers[0].Decide(first(2, order), now); d.Endpoint != "i-02" {
 		t.Errorf("got %q, want i-02, which answered a probe", d.Endpoint)
 	}
@@ -298,7 +298,7 @@
 		f.routers[0].Hedge(&k, start.Add(60*time.Millisecond))
 	}
 	f.routers[0].Decide(answered(1, feed, d.Token), start.Add(100*time.Millisecond))
-	f.routers[0].Probed(f.endpoint(d.Endpoint).Key(), false, start.Add(70*time.Millisecond), start.Add(220*time.Millisecond))
+	f.routers[0].RecordProbe(f.endpoint(d.Endpoint).Key(), false, start.Add(70*time.Millisecond), start.Add(220*time.Millisecond))
 	if got := f.routers[0].Decide(request(1, feed, d.Token), start.Add(300*time.Millisecond)); got.Verdict != carawaycart.VerdictForward {
 		t.Errorf("got verdict %d for %s, want the flow to continue: an answer arrived after the probe began", got.Verdict, got.Cause)
 	}
@@ -359,7 +359,7 @@
 	r := f.routers[0]
 	failProbes := func(id carawaycart.EndpointID) {
 		for range 2 {
-			r.Probed(f.endpoint(id).Key(), false, start, start.Add(time.Second))
+			r.RecordProbe(f.endpoint(id).Key(), false, start, start.Add(time.Second))
 		}
 	}
 	failProbes("i-02")
@@ -372,7 +372,7 @@
 	if r.Reachable() {
 		t.Error("got an endpoint reachable, want none: zone a is out, the others are silent")
 	}
-	r.Probed(f.endpoint("i-04").Key(), true, start, start.Add(2*time.Second))
+	r.RecordProbe(f.endpoint("i-04").Key(), true, start, start.Add(2*time.Second))
 	if !r.Reachable() {
 		t.Error("got no endpoint reachable after one has answered")
 	}
@@ -409,7 +409,7 @@
 				o.answerAt = time.Time{}
 				o.packet.Acknowledged += 1000
 				a := *o.packet
-				a.Sequence, a.DataBytes = a.Sequence+200, 0
+				a.Sequence, a.PayloadBytes = a.Sequence+200, 0
 				r.Decide(&a, now)
 			}
 			if now.Sub(o.lastSent) >= period {
--- a/core/steer/table.go
+++ b/core/steer/table.go
@@ -12,8 +12,8 @@
 // that it shares the state of endpoints and the Admissions with the tables before and
 // after it.
 type Table struct {
-	Version  uint64                    // version of the routing configuration; zero without one
-	Revision carawaycart.StoreRevision // revision of the store that it was built from
+	ConfigVersion uint64                    // version of the routing configuration; zero without one
+	Revision      carawaycart.StoreRevision // revision of the store that it was built from
 
 	routes   map[packedAddress]*route // routes by service address
 	byToken  map[carawaycart.Token]*endpoint
@@ -46,21 +46,21 @@
 	answerTarget time.Duration // time within which a request should be answered
 }
 
-// Limits bound the new flows per second that a cold endpoint gets from all instances
+// ColdLimits bound the new flows per second that a cold endpoint gets from all instances
 // together: to ColdOverrun times the rate that it can bear, plus ColdSlack.
-type Limits struct {
+type ColdLimits struct {
 	ColdOverrun float64 // factor of carawaycart.ServicePolicy.ColdPerSecond
 	ColdSlack   float64 // new flows per second
 }
 
 // Input is the data that a Table is built from.
 type Input struct {
-	Contents directory.Contents        // routing configuration, instances and zones out, as read from the store
-	Revision carawaycart.StoreRevision // revision of Contents
-	Roster   *directory.Roster         // lifetimes, including lapsed and ended ones
-	Self     carawaycart.InstanceID    // instance that the table is built for
-	Limits   Limits
-	Profiles map[carawaycart.ServiceID]carawaycart.Profile // profiles by service, for services that have one
+	Contents  directory.Contents         // routing configuration, instances and zones out, as read from the store
+	Revision  carawaycart.StoreRevision  // revision of Contents
+	Lifetimes *directory.LifetimeTracker // lifetimes, including lapsed and ended ones
+	Self      carawaycart.InstanceID     // instance that the table is built for
+	Limits    ColdLimits
+	Profiles  map[carawaycart.ServiceID]carawaycart.Profile // profiles by service, for services that have one
 }
 
 // NewTable returns the table that is built from in at now. Endpoints and admissions
@@ -83,7 +83,7 @@
 	}
 	t.addEndpoints(in, previous, now)
 	if in.Contents.Config != nil {
-		t.Version = in.Contents.Config.Version
+		t.ConfigVersion = in.Contents.Config.Version
 		t.addRoutes(in.Contents.Config)
 	}
 	return t
@@ -100,7 +100,7 @@
 	}
 	t.policies = policies
 	var keys []carawaycart.LifetimeKey
-	in.Roster.All(func(s *directory.Seen) {
+	in.Lifetimes.ForEach(func(s *directory.TrackedLifetime) {
 		key := s.Lifetime.Key()
 		var old *endpoint
 		if previous != nil {
@@ -136,7 +136,7 @@
 // their ranks and the rank of each varies with the endpoint. A profile without a name
 // does not limit the total number of flows.
 func coldShare(in *Input, policy carawaycart.ServicePolicy, profile carawaycart.Profile, key carawaycart.LifetimeKey) ColdShare {
-	bound := policy.ColdPerSecond*in.Limits.ColdOverrun + in.Limits.ColdSlack
+	bound := policy.ColdRequestRate*in.Limits.ColdOverrun + in.Limits.ColdSlack
 	endpointKey := rendezvous.NewKey(string(key.ID))
 	ownScore := rendezvous.Score(rendezvous.NewName(string(in.Self)), endpointKey)
 	rank, members := 0, 1
@@ -174,7 +174,7 @@
 			}
 			r.targets = append(r.targets, routeTarget{
 				service: to.Service, endpoints: services[to.Service], weight: to.Weight,
-				objective: &objective{admission: t.admissions[to.Service], priority: from.Priority, answerTarget: from.Target},
+				objective: &objective{admission: t.admissions[to.Service], priority: from.Priority, answerTarget: from.TargetLatency},
 			})
 		}
 		t.routes[pack(from.Address)] = r
@@ -186,8 +186,8 @@
 	return e.presence != directory.Ended && !e.lifetime.Draining && !t.zonesOut[e.lifetime.Zone]
 }
 
-// Complete reports whether t has a routing configuration. It is false if t is nil.
-func (t *Table) Complete() bool { return t != nil && t.Version != 0 }
+// HasConfig reports whether t has a routing configuration. It is false if t is nil.
+func (t *Table) HasConfig() bool { return t != nil && t.ConfigVersion != 0 }
 
 // HealthPath returns the HTTP path of the health check of the endpoints of service, or
 // the empty string if the service is not configured.
--- a/core/steer/token.go
+++ b/core/steer/token.go
@@ -18,7 +18,7 @@
 // is a hash of key and n, and never zero.
 func derive(key carawaycart.LifetimeKey, n int) carawaycart.Token {
 	var b [9]byte
-	binary.BigEndian.PutUint64(b[:8], uint64(key.Born))
+	binary.BigEndian.PutUint64(b[:8], uint64(key.StartedAt))
 	b[8] = byte(n)
 	h := xxhash.New()
 	_, _ = h.WriteString(string(key.ID))
@@ -41,7 +41,7 @@
 ) (tokens map[carawaycart.LifetimeKey]carawaycart.Token, owners map[carawaycart.Token]carawaycart.LifetimeKey) {
 	sorted := slices.Clone(keys)
 	slices.SortFunc(sorted, func(a, b carawaycart.LifetimeKey) int {
-		return cmp.Or(cmp.Compare(a.Born, b.Born), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.ID, b.ID))
 	})
 	tokens = make(map[carawaycart.LifetimeKey]carawaycart.Token, len(sorted))
 	owners = make(map[carawaycart.Token]carawaycart.LifetimeKey, len(sorted))
--- a/core/steer/token_test.go
+++ b/core/steer/token_test.go
@@ -12,7 +12,7 @@
 func lifetimeKeys(n int) []carawaycart.LifetimeKey {
 	keys := make([]carawaycart.LifetimeKey, n)
 	for i := range keys {
-		keys[i] = carawaycart.LifetimeKey{ID: carawaycart.EndpointID(fmt.Sprintf("i-%08x", i)), Born: carawaycart.UnixMillis(1000 + i)}
+		keys[i] = carawaycart.LifetimeKey{ID: carawaycart.EndpointID(fmt.Sprintf("i-%08x", i)), StartedAt: carawaycart.UnixMillis(1000 + i)}
 	}
 	return keys
 }
@@ -68,8 +68,8 @@
 // Guards against packets that reach the next lifetime of an endpoint with the token of
 // the one before.
 func TestTokenDistinguishesLifetimes(t *testing.T) {
-	a := derive(carawaycart.LifetimeKey{ID: "i-1", Born: 1}, 0)
-	b := derive(carawaycart.LifetimeKey{ID: "i-1", Born: 2}, 0)
+	a := derive(carawaycart.LifetimeKey{ID: "i-1", StartedAt: 1}, 0)
+	b := derive(carawaycart.LifetimeKey{ID: "i-1", StartedAt: 2}, 0)
 	if a == b || a == 0 || b == 0 {
 		t.Errorf("got tokens %d and %d for two lifetimes of one ID, want different non-zero ones", a, b)
 	}
--- a/flow.go
+++ b/flow.go
@@ -57,12 +57,12 @@
 
 	// The fields below are set only by formats whose packets carry a Token.
 
-	Token        Token
-	Sequence     uint32 // TCP sequence number
-	Acknowledged uint32 // TCP acknowledgement number
-	DataBytes    int
-	Copy         int  // number of earlier transmissions of a first packet
-	Reset        bool // ends the flow immediately
+	Token           Token
+	Sequence        uint32 // TCP sequence number
+	Acknowledged    uint32 // TCP acknowledgement number
+	PayloadBytes    int
+	Retransmissions int  // number of earlier transmissions of a first packet
+	Reset           bool // ends the flow immediately
 }
 
 // Fault is the reason why a datagram cannot be decoded.
@@ -141,26 +141,26 @@
 
 // Decision is the result of routing one packet.
 type Decision struct {
-	Verdict  Verdict
-	Cause    Cause
-	Endpoint EndpointID // destination of VerdictForward
-	Instance InstanceID // destination of VerdictRelay
-	Record   bool       // the keeper recorded a new flow, whose record must be replicated
+	Verdict       Verdict
+	Cause         Cause
+	Endpoint      EndpointID // destination of VerdictForward
+	Instance      InstanceID // destination of VerdictRelay
+	RecordCreated bool       // the keeper recorded a new flow, whose record must be replicated
 
 	// The fields below are set only by formats whose packets carry a Token.
 
-	Token   Token      // to write into a first packet
-	Zone    ZoneID     // zone of Endpoint
-	Number  HostNumber // number of Endpoint
+	Token   Token          // to write into a first packet
+	Zone    ZoneID         // zone of Endpoint
+	Number  EndpointNumber // number of Endpoint
 	Address netip.AddrPort
 }
 
 // FlowRecord states which endpoint owns a flow that the base endpoint of its slot
 // does not own.
 type FlowRecord struct {
-	Service     ServiceID
-	Fingerprint Fingerprint
-	Endpoint    EndpointID
-	Revision    Revision // revision of the configuration when the flow was opened
-	OpenedUnix  int64    // time at which the flow was opened, in nanoseconds since the Unix epoch
+	Service        ServiceID
+	Fingerprint    Fingerprint
+	Endpoint       EndpointID
+	Revision       Revision // revision of the configuration when the flow was opened
+	OpenedUnixNano int64    // time at which the flow was opened, in nanoseconds since the Unix epoch
 }
--- a/ids.go
+++ b/ids.go
@@ -31,9 +31,9 @@
 // the highest one is valid.
 type Incarnation uint64
 
-// Version orders the statuses of an endpoint that its keepers publish; the highest
+// StatusVersion orders the statuses of an endpoint that its keepers publish; the highest
 // one is valid.
-type Version uint64
+type StatusVersion uint64
 
 // IdempotencyKey identifies a keyed request, an HTTP request with an Idempotency-Key
 // header, over all of its attempts.
--- a/interfaces.go
+++ b/interfaces.go
@@ -52,11 +52,11 @@
 	Instances(ctx context.Context) ([]ListedInstance, error)
 }
 
-// Reporter fetches the load reports of endpoints.
-type Reporter interface {
+// LoadReporter fetches the load reports of endpoints.
+type LoadReporter interface {
 	// Report returns the current load report of the endpoint whose RequestAddress
 	// is address.
-	Report(ctx context.Context, address netip.AddrPort) (Report, error)
+	Report(ctx context.Context, address netip.AddrPort) (LoadReport, error)
 }
 
 // Router makes the forwarding decisions for packets. There is one implementation
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -62,7 +62,7 @@
 ) (carawaycart.Change, error) {
 	edit := platform.Edit{Operator: a.operator, Kind: kind, Name: name, Update: update}
 	if a.dryRun {
-		return a.log.Check(ctx, edit)
+		return a.log.DryRun(ctx, edit)
 	}
 	return a.log.Append(ctx, edit)
 }
@@ -85,10 +85,10 @@
 	})
 }
 
-// Leave marks endpoint id as leaving. Its flows may continue until they end or until
+// MarkLeaving marks endpoint id as leaving. Its flows may continue until they end or until
 // the drain time in the profile of its service has passed. The error is NotFound if
 // the endpoint does not exist and NotValid if it already has a mark.
-func (a *Admin) Leave(ctx context.Context, id carawaycart.EndpointID) (carawaycart.Change, error) {
+func (a *Admin) MarkLeaving(ctx context.Context, id carawaycart.EndpointID) (carawaycart.Change, error) {
 	c, err := a.log.Latest(ctx)
 	if err != nil {
 		return carawaycart.Change{}, err
@@ -114,9 +114,9 @@
 	})
 }
 
-// SetZone takes availability zone id out of service, or brings it back if out is
+// SetZoneOut takes availability zone id out of service, or brings it back if out is
 // false. The error is NotFound if the zone does not exist.
-func (a *Admin) SetZone(ctx context.Context, id carawaycart.ZoneID, out bool) (carawaycart.Change, error) {
+func (a *Admin) SetZoneOut(ctx context.Context, id carawaycart.ZoneID, out bool) (carawaycart.Change, error) {
 	return modify(ctx, a, carawaycart.KindZone, string(id), func(z *carawaycart.Zone) error {
 		z.Out = out
 		return nil
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -69,10 +69,12 @@
 func newSeeds(s settings.Settings) []netip.AddrPort { return s.Seeds }
 
 func newPlatformStore(s settings.Settings, c *counters.Counters) *platform.Store {
-	return platform.NewStore(s.Store, func() { c.StoreCalls.Inc(1) })
+	return platform.NewStore(s.StoreURL, func() { c.StoreCalls.Inc(1) })
 }
 
-func newPlatformList(s settings.Settings) *platform.List { return platform.NewList(s.List) }
+func newPlatformList(s settings.Settings) *platform.InstanceList {
+	return platform.NewInstanceList(s.InstanceListURL)
+}
 
 // newBalancer starts the servers of an instance whose controllers are running.
 func newBalancer(s settings.Settings, o *Sockets, b *board.Board, _ *member.Table, c *counters.Counters,
@@ -160,6 +162,6 @@
 	b.endpointClient.Close()
 }
 
-// StopLimit is the time that callers of Stop should allow for a graceful
+// StopTimeout is the time that callers of Stop should allow for a graceful
 // shutdown.
-const StopLimit = 30 * time.Second
+const StopTimeout = 30 * time.Second
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -43,7 +43,7 @@
 	r := &fixture{t: t}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == "/load" {
-			_ = json.NewEncoder(w).Encode(carawaycart.Report{})
+			_ = json.NewEncoder(w).Encode(carawaycart.LoadReport{})
 			return
 		}
 		(*r.handler.Load())(w, q)
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(store.Close)
-	list, err := standin.NewList("127.0.0.1:0", 0)
+	list, err := standin.NewInstanceList("127.0.0.1:0", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	}{
 		{carawaycart.KindZone, "a", carawaycart.Zone{ID: "a"}},
 		{carawaycart.KindService, "desk", carawaycart.Service{ID: "desk", Address: netip.MustParseAddrPort("192.0.2.1:443"), Profile: "swift"}},
-		{carawaycart.KindEndpoint, "e1", carawaycart.Endpoint{ID: "e1", Service: "desk", Zone: "a", RequestAddress: address, Flows: 10, Slots: 2}},
+		{carawaycart.KindEndpoint, "e1", carawaycart.Endpoint{ID: "e1", Service: "desk", Zone: "a", RequestAddress: address, MaxFlows: 10, RequestSlots: 2}},
 	} {
 		if _, err := a.Put(context.Background(), o.kind, o.name, o.object); err != nil {
 			r.t.Fatal(err)
@@ -82,11 +82,11 @@
 	}
 }
 
-func (r *fixture) start(store *standin.Store, list *standin.List) {
+func (r *fixture) start(store *standin.Store, list *standin.InstanceList) {
 	any := netip.MustParseAddrPort("127.0.0.1:0")
 	s := settings.Settings{
-		ID: "lb1", Zone: "a", Fabric: any, Request: any, Peer: any, Operator: any,
-		Store: store.URL(), List: list.URL(), FabricThreads: 1,
+		ID: "lb1", Zone: "a", FabricAddress: any, RequestAddress: any, PeerAddress: any, OperatorAddress: any,
+		StoreURL: store.URL(), InstanceListURL: list.URL(), FabricThreads: 1,
 	}
 	sockets, err := balancer.Open(s)
 	if err != nil {
@@ -125,7 +125,7 @@
 	}
 	q.Host = "desk"
 	if key != "" {
-		q.Header.Set(caller.KeyHeader, key)
+		q.Header.Set(caller.IdempotencyKeyHeader, key)
 	}
 	response, err := http.DefaultClient.Do(q)
 	if err != nil {
@@ -321,7 +321,7 @@
 func TestOpenPairsTCPAndUDPPeerPorts(t *testing.T) {
 	any := netip.MustParseAddrPort("127.0.0.1:0")
 	for range 200 {
-		o, err := balancer.Open(settings.Settings{Fabric: any, Request: any, Peer: any, Operator: any})
+		o, err := balancer.Open(settings.Settings{FabricAddress: any, RequestAddress: any, PeerAddress: any, OperatorAddress: any})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/balancer/sockets.go
+++ b/internal/balancer/sockets.go
@@ -32,22 +32,22 @@
 	o := &Sockets{}
 	var err error
 	for range peerPortAttempts {
-		if err = o.openPeer(s.Peer); err == nil || s.Peer.Port() != 0 {
+		if err = o.openPeer(s.PeerAddress); err == nil || s.PeerAddress.Port() != 0 {
 			break
 		}
 	}
 	if err != nil {
 		return nil, err
 	}
-	if o.Fabric, err = socket.ListenUDP(s.Fabric, "fabric", udpReceiveBuffer); err != nil {
+	if o.Fabric, err = socket.ListenUDP(s.FabricAddress, "fabric", udpReceiveBuffer); err != nil {
 		o.Close()
 		return nil, err
 	}
-	if o.Request, err = socket.Listen(s.Request, "request"); err != nil {
+	if o.Request, err = socket.Listen(s.RequestAddress, "request"); err != nil {
 		o.Close()
 		return nil, err
 	}
-	if o.Operator, err = socket.Listen(s.Operator, "operator"); err != nil {
+	if o.Operator, err = socket.Listen(s.OperatorAddress, "operator"); err != nil {
 		o.Close()
 		return nil, err
 	}
--- a/internal/configtest/configtest.go
+++ b/internal/configtest/configtest.go
@@ -8,9 +8,9 @@
 	"carawaycart/core/config"
 )
 
-// Put returns the configuration that results from setting the object of the given
+// MustPut returns the configuration that results from setting the object of the given
 // kind and name in c. It fails the test immediately if the change is rejected.
-func Put(tb testing.TB, c *config.Configuration, kind carawaycart.ObjectKind, name string, object any) *config.Configuration {
+func MustPut(tb testing.TB, c *config.Configuration, kind carawaycart.ObjectKind, name string, object any) *config.Configuration {
 	tb.Helper()
 	after, err := json.Marshal(object)
 	if err != nil {
--- a/internal/control/claimer.go
+++ b/internal/control/claimer.go
@@ -59,7 +59,7 @@
 	for _, m := range cl.memberTable.Members() {
 		departed[m.ID] = m.State == carawaycart.MemberDead || m.State == carawaycart.MemberLeft
 	}
-	cl.claims.Abandon(func(id carawaycart.InstanceID) bool { return departed[id] })
+	cl.claims.MarkPendingUnknown(func(id carawaycart.InstanceID) bool { return departed[id] })
 	cl.counters.Claims.Update(int64(cl.claims.Len()))
 }
 
@@ -126,7 +126,7 @@
 	now := cl.clock.Now()
 	members := cl.board.Members()
 	holders := members.Holders(claim.Key(c.Key))
-	if holders.Keeper != cl.board.Self || !cl.board.Awake(now) || !cl.hasZoneMajority(members) {
+	if holders.Keeper != cl.board.Self || !cl.board.MayDecide(now) || !cl.hasZoneMajority(members) {
 		return claim.Refused, carawaycart.Claim{}
 	}
 	verdict, held := cl.claims.Begin(c, now)
@@ -134,7 +134,7 @@
 		return verdict, held
 	}
 	conflict, ok := cl.replicate(ctx, members, &holders, held)
-	if conflict == nil && ok && cl.board.Awake(cl.clock.Now()) {
+	if conflict == nil && ok && cl.board.MayDecide(cl.clock.Now()) {
 		return claim.Run, held
 	}
 	// Replicas that recorded the claim must learn that the attempt will not run.
@@ -165,14 +165,14 @@
 			continue
 		}
 		total++
-		if members.HasZone(id) {
+		if members.HasKeeperCandidate(id) {
 			reached++
 		}
 		if first == "" || id < first {
 			first = id
 		}
 	}
-	return 2*reached > total || 2*reached == total && (total == 0 || members.HasZone(first))
+	return 2*reached > total || 2*reached == total && (total == 0 || members.HasKeeperCandidate(first))
 }
 
 // replicate copies c to the replicas concurrently. It returns a conflicting
--- a/internal/control/configurer.go
+++ b/internal/control/configurer.go
@@ -88,7 +88,7 @@
 	key := rendezvous.NewKey("watcher")
 	own := rendezvous.Score(rendezvous.NewName(string(self.ID)), key)
 	higher := 0
-	for _, p := range cf.board.Members().Ready() {
+	for _, p := range cf.board.Members().KeeperCandidates() {
 		if p.Zone == self.Zone && rendezvous.Score(rendezvous.NewName(string(p.ID)), key) > own {
 			higher++
 		}
@@ -147,7 +147,7 @@
 			return
 		}
 		delete(cf.pending, next.Revision)
-		c, err := cf.current.Next(next)
+		c, err := cf.current.ApplyOrSkip(next)
 		if err != nil {
 			cf.counters.ChangesRefused.Inc(1)
 			// Next returns the configuration with a new revision, so that all instances
@@ -162,7 +162,7 @@
 		}
 		klog.V(1).InfoS("change applied", "instance", cf.board.Self, "revision", next.Revision,
 			"kind", next.Kind, "name", next.Name, "operator", next.Operator)
-		cf.disseminator.Change(next, from)
+		cf.disseminator.QueueChange(next, from)
 	}
 }
 
--- a/internal/control/dispatcher.go
+++ b/internal/control/dispatcher.go
@@ -45,7 +45,7 @@
 // outcome with its cause.
 func (d *Dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := d.clock.Now()
-	query, err := caller.ReadQuery(r, now)
+	query, err := caller.ParseRequest(r, now)
 	if err != nil {
 		d.refuse(w, caller.CauseMalformed, err.Error())
 		return
@@ -203,7 +203,7 @@
 	_, _ = digest.Write(j.buffered)
 	return carawaycart.Claim{
 		Key: j.query.Key, Service: j.query.Service, Digest: carawaycart.RequestDigest(digest.Sum64()),
-		Attempt: carawaycart.AttemptID(uuid.NewString()), Entry: d.board.Self, State: carawaycart.ClaimPending,
+		Attempt: carawaycart.AttemptID(uuid.NewString()), EntryInstance: d.board.Self, State: carawaycart.ClaimPending,
 		Deadline: j.deadline.Add(j.route.Profile.AnswerSeconds.Duration()),
 	}
 }
@@ -270,7 +270,7 @@
 // job is one request to be sent to an endpoint.
 type job struct {
 	request  *http.Request
-	query    caller.Query
+	query    caller.RequestParams
 	route    *board.ServiceRoute
 	deadline time.Time     // of the answer
 	buffered []byte        // the whole body, which can be resent
--- a/internal/control/disseminator.go
+++ b/internal/control/disseminator.go
@@ -19,8 +19,8 @@
 const (
 	// batchDelay is the time in which updates are collected into one message.
 	batchDelay = 20 * time.Millisecond
-	// probeTimeout bounds an Exchange call, which carries a probe or updates.
-	probeTimeout = 400 * time.Millisecond
+	// exchangeTimeout bounds an Exchange call, which carries a probe or updates.
+	exchangeTimeout = 400 * time.Millisecond
 )
 
 // Disseminator sends updates about members, endpoints and configuration to the
@@ -62,18 +62,18 @@
 // Close stops sending updates.
 func (d *Disseminator) Close() { d.tasks.Close() }
 
-// Status queues a status that is new to this instance. It came from peer from,
+// QueueStatus queues a status that is new to this instance. It came from peer from,
 // or from this instance if from is empty.
-func (d *Disseminator) Status(status carawaycart.EndpointStatus, from carawaycart.InstanceID) {
+func (d *Disseminator) QueueStatus(status carawaycart.EndpointStatus, from carawaycart.InstanceID) {
 	d.mu.Lock()
 	d.statuses = append(d.statuses, queuedUpdate[carawaycart.EndpointStatus]{status, from})
 	d.mu.Unlock()
 	d.Wake()
 }
 
-// Change queues a change that is new to this instance. It came from peer from,
+// QueueChange queues a change that is new to this instance. It came from peer from,
 // or from the store if from is empty.
-func (d *Disseminator) Change(c carawaycart.Change, from carawaycart.InstanceID) {
+func (d *Disseminator) QueueChange(c carawaycart.Change, from carawaycart.InstanceID) {
 	d.mu.Lock()
 	d.changes = append(d.changes, queuedUpdate[carawaycart.Change]{c, from})
 	d.mu.Unlock()
@@ -83,8 +83,8 @@
 // queuedUpdate is an update with the peer that sent it, or the empty ID if none
 // did. It is not sent back to that peer.
 type queuedUpdate[T any] struct {
-	payload T // the update
-	from    carawaycart.InstanceID
+	update T // the update
+	from   carawaycart.InstanceID
 }
 
 // updatesNotFrom returns the updates that peer id did not send.
@@ -92,7 +92,7 @@
 	var payload []T
 	for _, u := range all {
 		if u.from != id {
-			payload = append(payload, u.payload)
+			payload = append(payload, u.update)
 		}
 	}
 	return payload
@@ -115,7 +115,7 @@
 // flush sends the queued updates to the neighbours. It first sets the members of
 // the board if the member table has changed.
 func (d *Disseminator) flush(ctx context.Context) {
-	members := d.memberTable.TakeNews()
+	members := d.memberTable.PopUpdates()
 	if len(members) > 0 {
 		d.board.SetMembers(d.memberTable.Members())
 		d.logMembers(members)
@@ -146,7 +146,7 @@
 // later probes: those of members and statuses because the digests differ,
 // changes because the revisions do.
 func (d *Disseminator) sendUpdates(ctx context.Context, n member.Peer, updates *message.Exchange) {
-	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	reply := &message.Exchange{}
 	if err := d.client.Call(ctx, n.Address, "Exchange", updates, reply); err != nil {
@@ -209,7 +209,7 @@
 // are not zero.
 func (d *Disseminator) allStatuses() []carawaycart.EndpointStatus {
 	var statuses []carawaycart.EndpointStatus
-	d.board.Entries(func(e *board.Entry) {
+	d.board.ForEachEntry(func(e *board.Entry) {
 		if st := e.Status(); st.Version > 0 {
 			statuses = append(statuses, st)
 		}
--- a/internal/control/endpoint_monitor.go
+++ b/internal/control/endpoint_monitor.go
@@ -21,8 +21,8 @@
 	monitorPeriod = 200 * time.Millisecond
 	// reportPeriod is the period of fetching the load report of an endpoint.
 	reportPeriod = 500 * time.Millisecond
-	// reportTimeout bounds the fetching of one report.
-	reportTimeout = 400 * time.Millisecond
+	// reportFetchTimeout bounds the fetching of one report.
+	reportFetchTimeout = 400 * time.Millisecond
 )
 
 // EndpointMonitor monitors the endpoints that the instance is keeper of: it
@@ -33,7 +33,7 @@
 	records      *flow.Records
 	replicator   *Replicator
 	disseminator *Disseminator
-	reporter     carawaycart.Reporter
+	reporter     carawaycart.LoadReporter
 	counters     *counters.Counters
 	clock        carawaycart.Clock
 
@@ -44,7 +44,7 @@
 }
 
 // NewEndpointMonitor returns a running EndpointMonitor.
-func NewEndpointMonitor(b *board.Board, t *member.Table, r *flow.Records, re *Replicator, d *Disseminator, loadReporter carawaycart.Reporter,
+func NewEndpointMonitor(b *board.Board, t *member.Table, r *flow.Records, re *Replicator, d *Disseminator, loadReporter carawaycart.LoadReporter,
 	c *counters.Counters, k carawaycart.Clock,
 ) *EndpointMonitor {
 	em := &EndpointMonitor{
@@ -74,8 +74,8 @@
 	counts := newStateCounts()
 	for id := range view.Config.Endpoints {
 		e := em.board.Entry(id)
-		if !ready || !em.board.Keeps(e) {
-			e.CloseGate()
+		if !ready || !em.board.IsKeeper(e) {
+			e.ClearLimiter()
 			continue
 		}
 		em.evaluate(ctx, view, e, flowsElsewhere[id], now)
@@ -91,23 +91,23 @@
 func (em *EndpointMonitor) evaluate(ctx context.Context, view *board.View, e *board.Entry, flowsElsewhere bool, now time.Time) {
 	configured := *e.Endpoint()
 	profile := view.Config.Profiles[view.Config.Services[configured.Service].Profile]
-	limiter := e.Gate()
+	limiter := e.Limiter()
 	if limiter == nil {
-		limiter = limit.NewGate(configured, profile, e.Status(), now)
-		e.OpenGate(limiter, now)
+		limiter = limit.NewLimiter(configured, profile, e.Status(), now)
+		e.SetLimiter(limiter, now)
 	}
 	limiter.Configure(configured, profile)
 	if em.pollDue(e.ID, now) {
 		go em.poll(ctx, e, limiter)
 	}
-	limiter.Guard(flowsElsewhere, now)
+	limiter.UpdateGuard(flowsElsewhere, now)
 	state, guarded := limiter.Status()
 	before := e.Status().State
-	status, changed := e.State(em.board.Self, state, guarded)
+	status, changed := e.UpdateStatus(em.board.Self, state, guarded)
 	if !changed {
 		return
 	}
-	em.disseminator.Status(status, "")
+	em.disseminator.QueueStatus(status, "")
 	if before != state {
 		klog.InfoS("endpoint changed state", "instance", em.board.Self, "endpoint", e.ID, "before", before, "after", state)
 	}
@@ -126,16 +126,16 @@
 }
 
 // poll fetches the report of e and passes it, or the failure, to limiter.
-func (em *EndpointMonitor) poll(ctx context.Context, e *board.Entry, limiter *limit.Gate) {
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+func (em *EndpointMonitor) poll(ctx context.Context, e *board.Entry, limiter *limit.Limiter) {
+	ctx, cancel := context.WithTimeout(ctx, reportFetchTimeout)
 	defer cancel()
 	report, err := em.reporter.Report(ctx, e.Endpoint().RequestAddress)
 	now := em.clock.Now()
 	if err != nil {
-		limiter.Missed(endpoint.Refused(err), now)
+		limiter.RecordFailure(endpoint.IsConnectionRefused(err), now)
 		return
 	}
-	limiter.Observe(report, now)
+	limiter.RecordReport(report, now)
 }
 
 // expireRecords removes the records of ended and idle flows and notifies their
@@ -146,7 +146,7 @@
 	members := em.board.Members()
 	expired := em.records.Expire(nil, now, func(r *carawaycart.FlowRecord) flow.Retention {
 		current := currentEndpoint(view, r)
-		if current != nil && current.ID != r.Endpoint && current.Gate() != nil {
+		if current != nil && current.ID != r.Endpoint && current.Limiter() != nil {
 			flowsElsewhere[current.ID] = true
 		}
 		return retention(view, current, members, em.board.Self, r)
@@ -168,36 +168,36 @@
 // drops r immediately.
 func retention(view *board.View, current *board.Entry, members *member.View, self carawaycart.InstanceID, r *carawaycart.FlowRecord) flow.Retention {
 	route := view.ServiceByID(r.Service)
-	if route == nil || current == nil || !view.Config.Holding(r.Endpoint) {
+	if route == nil || current == nil || !view.Config.MayOwnFlows(r.Endpoint) {
 		return flow.Retention{}
 	}
 	idle := route.Profile.FlowIdleSeconds.Duration()
 	if len(route.Recent) > 1 {
 		// Instances with an older slot table may send packets to keepers that the latest
 		// table does not name, so this instance cannot tell whether the flow is idle.
-		return flow.Retention{Idle: idle, Hold: true}
+		return flow.Retention{IdleTimeout: idle, NoIdleTimeout: true}
 	}
 	holders := current.Holders(members)
-	if holders.Keeper != self || current.Gate() == nil {
+	if holders.Keeper != self || current.Limiter() == nil {
 		// Replicas receive no packets, and neither does a keeper before its takeover,
 		// so they cannot tell whether the flow is idle.
-		return flow.Retention{Idle: idle, Hold: holders.Contains(self)}
+		return flow.Retention{IdleTimeout: idle, NoIdleTimeout: holders.Contains(self)}
 	}
 	// The instance became keeper of the slot either with its endpoint or with the
 	// latest table, whichever came later.
-	since := current.KeptSince()
-	if moved := route.Latest().Since(); moved.After(since) {
+	since := current.KeeperSince()
+	if moved := route.Latest().ArrivedAt(); moved.After(since) {
 		since = moved
 	}
-	return flow.Retention{Idle: idle, Since: since}
+	return flow.Retention{IdleTimeout: idle, IdleSince: since}
 }
 
 func (em *EndpointMonitor) publishMetrics(view *board.View) {
 	dirty := 0
 	for _, r := range view.Services() {
-		dirty += r.Latest().Dirty()
+		dirty += r.Latest().DirtyCount()
 	}
 	em.counters.SlotsDirty.Update(int64(dirty))
 	em.counters.Records.Update(int64(em.records.Len()))
-	em.counters.MembersReady.Update(int64(len(em.board.Members().Ready())))
+	em.counters.MembersReady.Update(int64(len(em.board.Members().KeeperCandidates())))
 }
--- a/internal/control/endpoint_monitor_test.go
+++ b/internal/control/endpoint_monitor_test.go
@@ -26,10 +26,10 @@
 	for i, z := range []carawaycart.ZoneID{"a", "b"} {
 		bundle.Endpoints = append(bundle.Endpoints, carawaycart.Endpoint{
 			ID: carawaycart.EndpointID(fmt.Sprintf("e%d", i)), Service: "desk", Zone: z,
-			FlowAddress: netip.MustParseAddrPort("127.0.0.1:1"), Flows: 10,
+			FlowAddress: netip.MustParseAddrPort("127.0.0.1:1"), MaxFlows: 10,
 		})
 	}
-	c := configtest.Put(t, config.New(), carawaycart.KindBundle, "site", bundle)
+	c := configtest.MustPut(t, config.New(), carawaycart.KindBundle, "site", bundle)
 	b := board.New("i1")
 	b.SetConfig(c, startTime)
 	b.SetMembers([]carawaycart.Member{{
@@ -54,26 +54,26 @@
 		{"keeper before takeover", func(*board.Board, *config.Configuration) {}, true, false},
 		{"keeper after takeover", func(b *board.Board, _ *config.Configuration) {
 			for _, id := range []carawaycart.EndpointID{"e0", "e1"} {
-				b.Entry(id).OpenGate(&limit.Gate{}, startTime)
+				b.Entry(id).SetLimiter(&limit.Limiter{}, startTime)
 			}
 		}, false, false},
 		{"more than one recent table", func(b *board.Board, c *config.Configuration) {
 			for _, id := range []carawaycart.EndpointID{"e0", "e1"} {
-				b.Entry(id).OpenGate(&limit.Gate{}, startTime)
+				b.Entry(id).SetLimiter(&limit.Limiter{}, startTime)
 			}
 			e := c.Endpoints["e0"]
 			e.Mark = carawaycart.MarkLeaving
-			b.SetConfig(configtest.Put(t, c, carawaycart.KindEndpoint, "e0", e), startTime)
+			b.SetConfig(configtest.MustPut(t, c, carawaycart.KindEndpoint, "e0", e), startTime)
 		}, true, false},
 		{"zone of the recorded endpoint is out", func(b *board.Board, c *config.Configuration) {
-			b.SetConfig(configtest.Put(t, c, carawaycart.KindZone, "b", carawaycart.Zone{ID: "b", Out: true}), startTime)
+			b.SetConfig(configtest.MustPut(t, c, carawaycart.KindZone, "b", carawaycart.Zone{ID: "b", Out: true}), startTime)
 		}, false, true},
 	} {
 		b, c := newKeeperBoard(t)
 		test.prepare(b, c)
 		view := b.View()
 		got := retention(view, currentEndpoint(view, record), b.Members(), "i1", record)
-		if got.Hold != test.hold || (got == flow.Retention{}) != test.dropped {
+		if got.NoIdleTimeout != test.hold || (got == flow.Retention{}) != test.dropped {
 			t.Errorf("%s: got %+v, want hold %t, dropped %t", test.name, got, test.hold, test.dropped)
 		}
 	}
@@ -86,10 +86,10 @@
 	b, _ := newKeeperBoard(t)
 	takeover := startTime.Add(time.Minute)
 	for _, id := range []carawaycart.EndpointID{"e0", "e1"} {
-		b.Entry(id).OpenGate(&limit.Gate{}, takeover)
+		b.Entry(id).SetLimiter(&limit.Limiter{}, takeover)
 	}
 	view := b.View()
-	if got := retention(view, currentEndpoint(view, record), b.Members(), "i1", record); !got.Since.Equal(takeover) {
-		t.Errorf("got idle time since %v, want since the takeover at %v", got.Since, takeover)
+	if got := retention(view, currentEndpoint(view, record), b.Members(), "i1", record); !got.IdleSince.Equal(takeover) {
+		t.Errorf("got idle time since %v, want since the takeover at %v", got.IdleSince, takeover)
 	}
 }
--- a/internal/control/explainer.go
+++ b/internal/control/explainer.go
@@ -61,7 +61,7 @@
 	}
 	for id, r := range view.Services() {
 		s.Services = append(s.Services, operator.ServiceStatus{
-			ID: id, Profile: r.Profile.Name, Slots: r.Latest().Len(), DirtySlots: r.Latest().Dirty(),
+			ID: id, Profile: r.Profile.Name, Slots: r.Latest().Len(), DirtySlots: r.Latest().DirtyCount(),
 		})
 	}
 	if n := x.counters.ChangesRefused.Count(); n > 0 {
@@ -108,7 +108,7 @@
 	}
 	if r, ok := x.records.Get(f); ok {
 		e.Record = r.Endpoint
-		e.OpenedAt = time.Unix(0, r.OpenedUnix).UTC()
+		e.OpenedAt = time.Unix(0, r.OpenedUnixNano).UTC()
 	}
 	e.Rule = flowRule(&e, x.board)
 	return e, nil
@@ -140,7 +140,7 @@
 	if c, ok := x.claims.Get(key, x.clock.Now()); ok {
 		e.Held = true
 		e.State = claimStateNames[c.State]
-		e.Entry = c.Entry
+		e.Entry = c.EntryInstance
 	}
 	return e
 }
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -107,7 +107,7 @@
 		return
 	}
 	if !m.stale.Load() {
-		m.board.StayAwake(now.Add(maxPause))
+		m.board.AllowDecisionsUntil(now.Add(maxPause))
 	}
 	m.memberTable.Tick(now)
 	m.board.Tick(now)
@@ -139,7 +139,7 @@
 // exchange probes peer id at address, merges its answer, and fetches its
 // configuration if that is later. A peer that does not answer becomes suspect.
 func (m *Membership) exchange(ctx context.Context, id carawaycart.InstanceID, address netip.AddrPort) {
-	call, cancel := context.WithTimeout(ctx, probeTimeout)
+	call, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	probe := m.disseminator.NewProbe()
 	probe.WantMembers, probe.WantStatuses = m.digestMismatches.stateToRequest(id)
@@ -150,8 +150,8 @@
 	}
 	if err != nil {
 		m.counters.ProbesFailed.Inc(1)
-		m.client.Drop(address)
-		m.memberTable.Suspect(id, m.clock.Now())
+		m.client.Disconnect(address)
+		m.memberTable.MarkSuspect(id, m.clock.Now())
 		m.disseminator.Wake()
 		return
 	}
@@ -220,7 +220,7 @@
 		if a == self.PeerAddress || known.HasAddress(a) {
 			continue
 		}
-		call, cancel := context.WithTimeout(ctx, probeTimeout)
+		call, cancel := context.WithTimeout(ctx, exchangeTimeout)
 		probe := m.disseminator.NewProbe()
 		probe.WantMembers = known.Len() == 0
 		reply := &message.Exchange{}
@@ -258,7 +258,7 @@
 func (m *Membership) pull(ctx context.Context, request *message.PullRequest, sources int) bool {
 	answered, asked := false, false
 	request.Self = message.FromMember(m.memberTable.Self())
-	for _, p := range m.board.Members().Ready() {
+	for _, p := range m.board.Members().KeeperCandidates() {
 		if p.ID == m.board.Self {
 			continue
 		}
--- a/internal/control/packet_handler.go
+++ b/internal/control/packet_handler.go
@@ -25,12 +25,12 @@
 	return &PacketHandler{board: b, router: flowRouter, records: flowRecords, replicator: re, counters: c, clock: k}
 }
 
-// Fault counts a datagram that could not be decoded.
-func (ph *PacketHandler) Fault(f fabric.Fault) { ph.counters.Fault(f) }
+// CountFault counts a datagram that could not be decoded.
+func (ph *PacketHandler) CountFault(f fabric.Fault) { ph.counters.CountFault(f) }
 
-// Handle returns the address to which the datagram that contains p is sent, or
+// Route returns the address to which the datagram that contains p is sent, or
 // false if it is dropped.
-func (ph *PacketHandler) Handle(p *carawaycart.Packet) (netip.AddrPort, bool) {
+func (ph *PacketHandler) Route(p *carawaycart.Packet) (netip.AddrPort, bool) {
 	now := ph.clock.Now()
 	d := ph.router.Decide(p, now)
 	switch d.Verdict {
@@ -52,7 +52,7 @@
 // forward returns the flow address of the endpoint that d chose for p, and queues
 // the record of a new flow. It returns false if the endpoint has no such address.
 func (ph *PacketHandler) forward(p *carawaycart.Packet, d *carawaycart.Decision) (netip.AddrPort, bool) {
-	if d.Record {
+	if d.RecordCreated {
 		ph.replicateRecord(p)
 	}
 	e := ph.board.Entry(d.Endpoint).Endpoint()
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -90,17 +90,17 @@
 // It reports whether the slot is granted.
 func (pe *Permits) AcquireAsKeeper(r *message.AcquireRequest) bool {
 	now := pe.clock.Now()
-	limiter := pe.board.Entry(carawaycart.EndpointID(r.GetEndpoint())).Gate()
-	if limiter == nil || !pe.board.Awake(now) {
+	limiter := pe.board.Entry(carawaycart.EndpointID(r.GetEndpoint())).Limiter()
+	if limiter == nil || !pe.board.MayDecide(now) {
 		return false
 	}
 	id, holder := carawaycart.PermitID(r.GetPermit()), carawaycart.InstanceID(r.GetHolder())
 	deadline := time.Unix(0, r.GetDeadlineUnix())
 	if r.GetHeld() {
-		limiter.Register(id, holder, deadline)
+		limiter.RegisterPermit(id, holder, deadline)
 		return true
 	}
-	return limiter.Acquire(id, holder, deadline, now)
+	return limiter.AcquirePermit(id, holder, deadline, now)
 }
 
 // Release returns p to its keeper. shed reports that the endpoint refused the
@@ -129,8 +129,8 @@
 
 // ReleaseAsKeeper frees a request slot as keeper of the endpoint.
 func (pe *Permits) ReleaseAsKeeper(r *message.ReleaseRequest) {
-	if limiter := pe.board.Entry(carawaycart.EndpointID(r.GetEndpoint())).Gate(); limiter != nil {
-		limiter.Release(carawaycart.PermitID(r.GetPermit()), r.GetShed(), pe.clock.Now())
+	if limiter := pe.board.Entry(carawaycart.EndpointID(r.GetEndpoint())).Limiter(); limiter != nil {
+		limiter.ReleasePermit(carawaycart.PermitID(r.GetPermit()), r.GetShed(), pe.clock.Now())
 	}
 }
 
--- a/internal/control/reconciler.go
+++ b/internal/control/reconciler.go
@@ -54,12 +54,12 @@
 	now := rc.clock.Now()
 	for id, r := range view.Services() {
 		if idleMoves := rc.idleMoves(r, now); len(idleMoves) > 0 {
-			rc.append(ctx, view, carawaycart.KindSettle, string(id), replaceObject(config.Settlement{Moves: idleMoves}))
+			rc.propose(ctx, view, carawaycart.KindSettle, string(id), replaceObject(config.BaseReplacement{Moves: idleMoves}))
 		}
 	}
 	for id, e := range view.Config.Endpoints {
-		if next := rc.nextMark(view, &e, now); next != e.Mark && rc.board.Keeps(rc.board.Entry(id)) {
-			rc.append(ctx, view, carawaycart.KindEndpoint, string(id), replaceMark(e.Mark, next))
+		if next := rc.nextMark(view, &e, now); next != e.Mark && rc.board.IsKeeper(rc.board.Entry(id)) {
+			rc.propose(ctx, view, carawaycart.KindEndpoint, string(id), replaceMark(e.Mark, next))
 		}
 	}
 }
@@ -67,12 +67,12 @@
 // idleMoves returns the dirty slots whose base can be replaced by their current
 // endpoint, because baseIdle holds. Slots with the same base and current endpoint
 // are in one move. It returns nil while instances may follow different tables.
-func (rc *Reconciler) idleMoves(r *board.ServiceRoute, now time.Time) []config.Move {
+func (rc *Reconciler) idleMoves(r *board.ServiceRoute, now time.Time) []config.BaseMove {
 	type pair struct{ base, current *board.Entry }
 	index := make(map[pair]int)
-	var idleMoves []config.Move
+	var idleMoves []config.BaseMove
 	t := r.Latest()
-	if len(r.Recent) > 1 || t.Dirty() == 0 {
+	if len(r.Recent) > 1 || t.DirtyCount() == 0 {
 		return nil
 	}
 	for i := range t.Len() {
@@ -86,7 +86,7 @@
 		if !ok {
 			at = len(idleMoves)
 			index[p] = at
-			idleMoves = append(idleMoves, config.Move{Base: sl.Base.ID, Current: sl.Current.ID})
+			idleMoves = append(idleMoves, config.BaseMove{Base: sl.Base.ID, Current: sl.Current.ID})
 		}
 		idleMoves[at].Slots = append(idleMoves[at].Slots, n)
 	}
@@ -98,8 +98,8 @@
 // record to the base of the slot.
 func (rc *Reconciler) baseIdle(r *board.ServiceRoute, n carawaycart.SlotIndex, current *board.Entry, now time.Time) bool {
 	limit := r.Profile.FlowIdleSeconds.Duration()
-	return rc.board.Keeps(current) && current.Gate() != nil &&
-		now.Sub(r.BaseSeen(n)) >= limit && now.Sub(current.KeptSince()) >= limit
+	return rc.board.IsKeeper(current) && current.Limiter() != nil &&
+		now.Sub(r.BaseLastUsed(n)) >= limit && now.Sub(current.KeeperSince()) >= limit
 }
 
 // nextMark returns the mark that e should have at now. A leaving or drained
@@ -149,9 +149,9 @@
 	}
 }
 
-// append appends a change to the change log in the name of the instance. If
+// propose appends a change to the change log in the name of the instance. If
 // the store is down, the next round retries.
-func (rc *Reconciler) append(ctx context.Context, view *board.View, kind carawaycart.ObjectKind, name string, u objectUpdate) {
+func (rc *Reconciler) propose(ctx context.Context, view *board.View, kind carawaycart.ObjectKind, name string, u objectUpdate) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	_, err := rc.log.AppendAfter(ctx, view.Config, platform.Edit{
--- a/internal/control/replicator.go
+++ b/internal/control/replicator.go
@@ -66,8 +66,8 @@
 
 // retiredView is a view of the members and the time when another replaced it.
 type retiredView struct {
-	view *member.View
-	end  time.Time
+	members *member.View
+	end     time.Time
 }
 
 // NewReplicator returns a running Replicator.
@@ -176,7 +176,7 @@
 }
 
 // replicas returns the holders other than the keeper.
-func replicas(h *member.Holders) []carawaycart.InstanceID { return h.Replicas[:h.Count] }
+func replicas(h *member.Holders) []carawaycart.InstanceID { return h.Replicas[:h.ReplicaCount] }
 
 // sendRecords copies records to instance id, recordsPerCall at a time. Those that
 // do not arrive are counted as lost.
@@ -208,10 +208,10 @@
 	}
 	now := re.clock.Now()
 	for _, r := range records {
-		re.records.Put(r, now)
+		re.records.Merge(r, now)
 	}
 	for _, f := range ended {
-		re.records.Forget(f)
+		re.records.Delete(f)
 	}
 }
 
@@ -254,14 +254,14 @@
 // within lossWindow of each other, because these may have held the only copies.
 func (re *Replicator) markUncertainClaims() {
 	now := re.clock.Now()
-	re.retired = append(re.retired, retiredView{view: re.members, end: now})
+	re.retired = append(re.retired, retiredView{members: re.members, end: now})
 	for len(re.retired) > 1 && now.Sub(re.retired[0].end) > lossWindow {
 		re.retired = re.retired[1:]
 	}
-	before := re.retired[0].view
+	before := re.retired[0].members
 	failed := re.failed()
 	var lost []carawaycart.InstanceID
-	for _, p := range before.Ready() {
+	for _, p := range before.KeeperCandidates() {
 		if failed[p.ID] {
 			lost = append(lost, p.ID)
 		}
@@ -270,7 +270,7 @@
 		return
 	}
 	klog.InfoS("several instances failed within the loss window; their claims are uncertain", "instance", re.board.Self, "lost", lost)
-	re.claims.NoteLoss(before, lost, now.Add(uncertaintyPeriod))
+	re.claims.RecordLoss(before, lost, now.Add(uncertaintyPeriod))
 }
 
 // failed returns the instances that are suspect or dead and thus did not hand
--- a/internal/control/sender.go
+++ b/internal/control/sender.go
@@ -55,18 +55,18 @@
 // Send sends j until an endpoint answers, no retry is allowed, no endpoint has a
 // free request slot within QueueSeconds, or ctx ends.
 func (s *Sender) Send(ctx context.Context, j *job) result {
-	budget := s.budgets.Of(j.route.Service.ID, j.route.Profile.RetryPercent)
-	budget.Fresh()
+	budget := s.budgets.For(j.route.Service.ID, j.route.Profile.RetryPercent)
+	budget.RecordRequest()
 	queueEnd := s.clock.Now().Add(j.route.Profile.QueueSeconds.Duration())
 	failed := make(map[carawaycart.EndpointID]bool)
 	last := result{outcome: carawaycart.OutcomeNotRun, cause: caller.CauseNoRoom, detail: "no endpoint had a free slot in time"}
 	for {
-		permit := s.permit(ctx, j, failed, queueEnd)
+		permit := s.acquirePermit(ctx, j, failed, queueEnd)
 		if permit == nil {
 			return last
 		}
 		r, retry := s.attempt(ctx, j, permit)
-		if r.response != nil || !retry || !budget.Retry() {
+		if r.response != nil || !retry || !budget.TryRetry() {
 			return r
 		}
 		s.counters.RequestsRetried.Inc(1)
@@ -75,10 +75,10 @@
 	}
 }
 
-// permit returns a permit of an endpoint that accepts requests, or nil if none
+// acquirePermit returns a acquirePermit of an endpoint that accepts requests, or nil if none
 // has a free request slot before queueEnd. It skips the endpoints in failed in
 // the first round, and then clears failed.
-func (s *Sender) permit(ctx context.Context, j *job, failed map[carawaycart.EndpointID]bool, queueEnd time.Time) *Permit {
+func (s *Sender) acquirePermit(ctx context.Context, j *job, failed map[carawaycart.EndpointID]bool, queueEnd time.Time) *Permit {
 	for {
 		for _, e := range s.candidates(j.route, failed) {
 			if p := s.permits.Acquire(ctx, e, j.deadline); p != nil {
@@ -99,7 +99,7 @@
 	view := s.board.View()
 	var open, other []*board.Entry
 	for _, e := range route.Entries {
-		if !view.Config.Accepting(e.ID) || failed[e.ID] || !e.Endpoint().RequestAddress.IsValid() {
+		if !view.Config.AcceptsNewWork(e.ID) || failed[e.ID] || !e.Endpoint().RequestAddress.IsValid() {
 			continue
 		}
 		switch e.Status().State {
@@ -122,18 +122,18 @@
 func (s *Sender) attempt(ctx context.Context, j *job, p *Permit) (result, bool) {
 	e := p.Entry
 	// The endpoint may have been marked while the request waited for its permit.
-	if !s.board.View().Config.Accepting(e.ID) {
+	if !s.board.View().Config.AcceptsNewWork(e.ID) {
 		s.permits.Release(p, false)
 		return result{outcome: carawaycart.OutcomeNotRun, cause: caller.CauseNoRoom, detail: "endpoint is leaving"}, true
 	}
-	request, err := s.request(ctx, j)
+	request, err := s.newRequest(ctx, j)
 	if err != nil {
 		s.permits.Release(p, false)
 		return result{outcome: carawaycart.OutcomeNotRun, cause: caller.CauseMalformed, detail: err.Error()}, false
 	}
 	response, err := s.client.Do(request, e.Endpoint().RequestAddress)
 	switch {
-	case endpoint.Unreached(err):
+	case endpoint.IsDialError(err):
 		// No connection was made, so the endpoint received nothing.
 		s.permits.Release(p, false)
 		return result{outcome: carawaycart.OutcomeNotRun, cause: caller.CauseEndpointRefused, detail: err.Error()}, true
@@ -159,10 +159,10 @@
 	return result{outcome: carawaycart.OutcomeUnknown, cause: caller.CauseEndpointLost, detail: err.Error()}, retry
 }
 
-// request returns the request to an endpoint. Its body hides from net/http
-// that it can be rewound, because net/http would otherwise resend a request
+// newRequest returns the newRequest to an endpoint. Its body hides from net/http
+// that it can be rewound, because net/http would otherwise resend a newRequest
 // with an idempotency key by itself when a connection breaks.
-func (s *Sender) request(ctx context.Context, j *job) (*http.Request, error) {
+func (s *Sender) newRequest(ctx context.Context, j *job) (*http.Request, error) {
 	body := j.body
 	length := j.request.ContentLength
 	if body == nil {
@@ -183,8 +183,8 @@
 	r.ContentLength = length
 	r.Host = j.request.Host
 	caller.CopyHeaders(r.Header, j.request.Header)
-	if r.Header.Get(caller.RequestHeader) == "" {
-		r.Header.Set(caller.RequestHeader, uuid.NewString())
+	if r.Header.Get(caller.RequestIDHeader) == "" {
+		r.Header.Set(caller.RequestIDHeader, uuid.NewString())
 	}
 	left := max(j.deadline.Sub(s.clock.Now()), time.Millisecond)
 	r.Header.Set(caller.TimeoutHeader, strconv.FormatInt(left.Milliseconds(), 10))
--- a/internal/control/update_receiver.go
+++ b/internal/control/update_receiver.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		if u.board.Entry(status.Endpoint).MergeStatus(status) {
-			u.disseminator.Status(status, from)
+			u.disseminator.QueueStatus(status, from)
 		}
 	}
 	for _, data := range x.GetChanges() {
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -105,8 +105,8 @@
 // DroppedCount returns how many packets were dropped for cause.
 func (c *Counters) DroppedCount(cause carawaycart.Cause) int64 { return c.dropped[cause].Count() }
 
-// Fault counts a datagram that could not be decoded.
-func (c *Counters) Fault(f fabric.Fault) { c.faults[f].Inc(1) }
+// CountFault counts a datagram that could not be decoded.
+func (c *Counters) CountFault(f fabric.Fault) { c.faults[f].Inc(1) }
 
 // requestCalls are the peer methods that are called on behalf of one request of a
 // caller.
@@ -114,8 +114,8 @@
 	"Peer.Begin": true, "Peer.Finish": true, "Peer.Copy": true, "Peer.Acquire": true, "Peer.Release": true,
 }
 
-// Sent counts bytes sent to a peer in a call of method.
-func (c *Counters) Sent(method string, bytes int) {
+// CountSent counts bytes sent to a peer in a call of method.
+func (c *Counters) CountSent(method string, bytes int) {
 	if requestCalls[method] {
 		c.RequestBytes.Inc(int64(bytes))
 	} else {
--- a/internal/demo/bench_test.go
+++ b/internal/demo/bench_test.go
@@ -98,7 +98,7 @@
 				begin := time.Now()
 				var longest time.Duration
 				for range changes {
-					c, err := a.SetZone(ctx, "stord", false)
+					c, err := a.SetZoneOut(ctx, "stord", false)
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -100,7 +100,7 @@
 func (d *Demo) printProgress(format string, args ...any) {
 	t := d.fleet.Ledger.Totals()
 	_, _ = fmt.Fprintf(d.options.Progress, "%5.1fs  %s [%d flows, %d broken, %d orders, %d confirmed]\n",
-		time.Since(d.start).Seconds(), fmt.Sprintf(format, args...), t.FlowsOpened, t.FlowsBroken, t.OrdersSent, t.OrdersConfirmed)
+		time.Since(d.start).Seconds(), fmt.Sprintf(format, args...), t.FlowsOpened, t.FlowsBroken, t.KeyedSent, t.KeyedAnswered)
 }
 
 // setUp starts the endpoints, writes the configuration and starts the instances.
@@ -140,11 +140,11 @@
 
 // addEndpoint starts endpoint i of a service. While cold, it accepts 5 flows more
 // than the profile allows instances to send.
-func (d *Demo) addEndpoint(s standin.SiteService, i int) (*standin.Host, error) {
+func (d *Demo) addEndpoint(s standin.SiteService, i int) (*standin.EmulatedEndpoint, error) {
 	zones := d.options.Site.Zones
 	return d.fleet.AddEndpoint(standin.EndpointConfig{
 		ID: standin.EndpointName(s.ID, i), Service: s.ID, ServiceAddress: s.Address, Zone: zones[i%len(zones)],
-		Flows: s.Flows, Slots: s.Slots, ColdFlows: 25, ColdRequests: 1,
+		MaxFlows: s.MaxFlows, RequestSlots: s.RequestSlots, ColdFlows: 25, ColdRequests: 1,
 	})
 }
 
--- a/internal/demo/environment.go
+++ b/internal/demo/environment.go
@@ -97,7 +97,7 @@
 func (e *Environment) Settings(i ExternalInstance) string {
 	return fmt.Sprintf("[instance]\nid = %s\nzone = %s\n\n[listen]\nfabric = %s\nrequest = %s\npeer = %s\noperator = %s\n\n"+
 		"[platform]\nstore = %s\nlist = %s\n",
-		i.ID, i.Zone, i.Fabric, i.Request, i.Peer, i.Operator, e.demo.fleet.Store.URL(), e.demo.fleet.List.URL())
+		i.ID, i.Zone, i.Fabric, i.Request, i.Peer, i.Operator, e.demo.fleet.Store.URL(), e.demo.fleet.InstanceList.URL())
 }
 
 // Run generates load until ctx ends, and returns when all callers have returned.
@@ -124,11 +124,11 @@
 		reachable := acceptsConnections(i.Request)
 		switch {
 		case reachable && !e.reachable[i.ID]:
-			f.List.Add(carawaycart.ListedInstance{ID: i.ID, Zone: i.Zone, PeerAddress: i.Peer})
+			f.InstanceList.Add(carawaycart.ListedInstance{ID: i.ID, Zone: i.Zone, PeerAddress: i.Peer})
 			f.Fabric.Add(i.ID, i.Fabric)
 			f.Requests.Add(standin.RequestTarget{ID: i.ID, Address: i.Request})
 		case !reachable && e.reachable[i.ID]:
-			f.List.Remove(i.ID)
+			f.InstanceList.Remove(i.ID)
 			f.Fabric.Remove(i.ID)
 			f.Requests.Remove(i.ID)
 		}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -24,15 +24,15 @@
 // Fleet is a set of instances that share an emulated platform and a set of
 // emulated endpoints.
 type Fleet struct {
-	Store    *standin.Store
-	List     *standin.List
-	Fabric   *standin.Fabric
-	Ledger   *standin.Ledger
-	Requests *standin.RequestCaller // sends the keyed requests
+	Store        *standin.Store
+	InstanceList *standin.InstanceList
+	Fabric       *standin.Fabric
+	Ledger       *standin.Ledger
+	Requests     *standin.RequestCaller // sends the keyed requests
 
 	mu        sync.Mutex
 	instances map[carawaycart.InstanceID]*balancer.Balancer
-	endpoints map[carawaycart.EndpointID]*standin.Host
+	endpoints map[carawaycart.EndpointID]*standin.EmulatedEndpoint
 	meters    map[carawaycart.InstanceID]*meter // including those of ended instances
 }
 
@@ -51,14 +51,14 @@
 	f := &Fleet{
 		Ledger:    standin.NewLedger(),
 		instances: make(map[carawaycart.InstanceID]*balancer.Balancer),
-		endpoints: make(map[carawaycart.EndpointID]*standin.Host),
+		endpoints: make(map[carawaycart.EndpointID]*standin.EmulatedEndpoint),
 		meters:    make(map[carawaycart.InstanceID]*meter),
 	}
 	var err error
 	if f.Store, err = standin.NewStore(loopbackAnyPort); err != nil {
 		return nil, err
 	}
-	if f.List, err = standin.NewList(loopbackAnyPort, listDelay); err != nil {
+	if f.InstanceList, err = standin.NewInstanceList(loopbackAnyPort, listDelay); err != nil {
 		return nil, err
 	}
 	if f.Fabric, err = standin.NewFabric(loopbackAnyPort, seed); err != nil {
@@ -69,8 +69,8 @@
 }
 
 // AddEndpoint starts an endpoint.
-func (f *Fleet) AddEndpoint(c standin.EndpointConfig) (*standin.Host, error) {
-	h, err := standin.NewHost(c, loopbackAnyPort, f.Ledger, f.Fabric)
+func (f *Fleet) AddEndpoint(c standin.EndpointConfig) (*standin.EmulatedEndpoint, error) {
+	h, err := standin.NewEmulatedEndpoint(c, loopbackAnyPort, f.Ledger, f.Fabric)
 	if err != nil {
 		return nil, err
 	}
@@ -81,10 +81,10 @@
 }
 
 // Endpoints returns a copy of the map of endpoints.
-func (f *Fleet) Endpoints() map[carawaycart.EndpointID]*standin.Host {
+func (f *Fleet) Endpoints() map[carawaycart.EndpointID]*standin.EmulatedEndpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	endpoints := make(map[carawaycart.EndpointID]*standin.Host, len(f.endpoints))
+	endpoints := make(map[carawaycart.EndpointID]*standin.EmulatedEndpoint, len(f.endpoints))
 	for id, h := range f.endpoints {
 		endpoints[id] = h
 	}
@@ -106,8 +106,8 @@
 func (f *Fleet) AddInstance(id carawaycart.InstanceID, zone carawaycart.ZoneID) error {
 	address := netip.MustParseAddrPort(loopbackAnyPort)
 	s := settings.Settings{
-		ID: id, Zone: zone, Fabric: address, Request: address, Peer: address, Operator: address,
-		Store: f.Store.URL(), List: f.List.URL(), FabricThreads: 1,
+		ID: id, Zone: zone, FabricAddress: address, RequestAddress: address, PeerAddress: address, OperatorAddress: address,
+		StoreURL: f.Store.URL(), InstanceListURL: f.InstanceList.URL(), FabricThreads: 1,
 	}
 	sockets, err := balancer.Open(s)
 	if err != nil {
@@ -121,7 +121,7 @@
 	f.instances[id] = b
 	f.meters[id] = &meter{start: time.Now()}
 	f.mu.Unlock()
-	f.List.Add(carawaycart.ListedInstance{ID: id, Zone: zone, PeerAddress: b.PeerAddress()})
+	f.InstanceList.Add(carawaycart.ListedInstance{ID: id, Zone: zone, PeerAddress: b.PeerAddress()})
 	return nil
 }
 
@@ -162,7 +162,7 @@
 func (f *Fleet) Kill(id carawaycart.InstanceID) {
 	f.removeInstance(id).Kill()
 	f.Requests.Remove(id)
-	f.List.Remove(id)
+	f.InstanceList.Remove(id)
 	time.AfterFunc(fabricDelay, func() { f.Fabric.Remove(id) })
 }
 
@@ -171,7 +171,7 @@
 // the end of the stop, and count those that the stop interrupts.
 func (f *Fleet) Stop(ctx context.Context, id carawaycart.InstanceID) error {
 	f.Requests.MarkStopping(id)
-	f.List.Remove(id)
+	f.InstanceList.Remove(id)
 	b := f.removeInstance(id)
 	f.Fabric.Remove(id)
 	err := b.Stop(ctx)
@@ -286,6 +286,6 @@
 	}
 	f.Requests.Close()
 	f.Fabric.Close()
-	f.List.Close()
+	f.InstanceList.Close()
 	f.Store.Close()
 }
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -39,18 +39,18 @@
 // an accepted change.
 const maxInForceSeconds = 5
 
-// Breach is a guarantee that a run violated, and the observed value.
-type Breach struct {
-	Promise string
-	Seen    string
+// Violation is a guarantee that a run violated, and the observed value.
+type Violation struct {
+	Guarantee string
+	Observed  string
 }
 
-// Breaches returns the guarantees that the run violated.
-func (r *Report) Breaches() []Breach {
-	var breaches []Breach
+// Violations returns the guarantees that the run violated.
+func (r *Report) Violations() []Violation {
+	var breaches []Violation
 	requireZero := func(n int, guarantee string) {
 		if n != 0 {
-			breaches = append(breaches, Breach{Promise: guarantee, Seen: fmt.Sprintf("%d", n)})
+			breaches = append(breaches, Violation{Guarantee: guarantee, Observed: fmt.Sprintf("%d", n)})
 		}
 	}
 	requireZero(r.FlowsBroken, "an established flow survives any planned change")
@@ -60,20 +60,20 @@
 	requireZero(r.AnswersCrossed, "a caller gets the answer to its own request")
 	requireZero(r.AnswersTruncated, "a caller gets the whole answer")
 	requireZero(r.FalseRefusals, "a request that is reported as not run was not run")
-	requireZero(r.OrdersRunTwice, "a non-idempotent order runs at most once")
+	requireZero(r.KeyedRunTwice, "a non-idempotent order runs at most once")
 	requireZero(r.WorkAfterLeave, "a leaving endpoint gets no new work after a few seconds")
 	requireZero(r.RequestsCutByStop, "a planned stop interrupts no request")
 	requireZero(r.ConfigReverts, "an accepted configuration never reverts")
 	if r.ConfigInForceSecondsMax > maxInForceSeconds {
-		breaches = append(breaches, Breach{
-			Promise: "an accepted configuration is in force everywhere within seconds",
-			Seen:    fmt.Sprintf("%.1f s", r.ConfigInForceSecondsMax),
+		breaches = append(breaches, Violation{
+			Guarantee: "an accepted configuration is in force everywhere within seconds",
+			Observed:  fmt.Sprintf("%.1f s", r.ConfigInForceSecondsMax),
 		})
 	}
-	if r.FlowsOpened == 0 || r.OrdersConfirmed == 0 {
-		breaches = append(breaches, Breach{
-			Promise: "flows are opened and orders are confirmed",
-			Seen:    fmt.Sprintf("%d flows opened, %d orders confirmed", r.FlowsOpened, r.OrdersConfirmed),
+	if r.FlowsOpened == 0 || r.KeyedAnswered == 0 {
+		breaches = append(breaches, Violation{
+			Guarantee: "flows are opened and orders are confirmed",
+			Observed:  fmt.Sprintf("%d flows opened, %d orders confirmed", r.FlowsOpened, r.KeyedAnswered),
 		})
 	}
 	return breaches
@@ -88,12 +88,12 @@
 	row("instances started", r.Instances)
 	row("flows opened", r.FlowsOpened)
 	row("flows broken", r.FlowsBroken)
-	row("flows given up with their zone", r.FlowsGivenUpByZoneOut)
+	row("flows given up with their zone", r.FlowsEndedByZoneOut)
 	row("flows that could not be opened", r.FlowsNotOpened)
-	row("orders sent / confirmed", fmt.Sprintf("%d / %d", r.OrdersSent, r.OrdersConfirmed))
-	row("orders refused, not run", r.OrdersRefusedNotRun)
-	row("orders unknown", r.OrdersUnknown)
-	row("orders run twice", r.OrdersRunTwice)
+	row("orders sent / confirmed", fmt.Sprintf("%d / %d", r.KeyedSent, r.KeyedAnswered))
+	row("orders refused, not run", r.KeyedNotRun)
+	row("orders unknown", r.KeyedUnknown)
+	row("orders run twice", r.KeyedRunTwice)
 	row("false refusals", r.FalseRefusals)
 	row("answers crossed / truncated", fmt.Sprintf("%d / %d", r.AnswersCrossed, r.AnswersTruncated))
 	row("packets to a wrong service", r.PacketsToWrongService)
--- a/internal/demo/script.go
+++ b/internal/demo/script.go
@@ -71,7 +71,7 @@
 	id := d.endpointID(d.randomInt(4))
 	err := d.applyChange(ctx, "endpoint "+string(id)+" is leaving", func() (carawaycart.Change, error) {
 		d.fleet.Ledger.SetCutoff(string(id), graceDeadline())
-		return d.admin.Leave(ctx, id)
+		return d.admin.MarkLeaving(ctx, id)
 	})
 	if err != nil {
 		return err
@@ -107,17 +107,17 @@
 	return pause(ctx, 2*time.Second)
 }
 
-// evacuatedZone returns the zone that the script takes out of service.
-func (d *Demo) evacuatedZone() carawaycart.ZoneID {
+// zoneToTakeOut returns the zone that the script takes out of service.
+func (d *Demo) zoneToTakeOut() carawaycart.ZoneID {
 	return d.options.Site.Zones[len(d.options.Site.Zones)-1]
 }
 
 // zoneOut takes the evacuated zone out of service.
 func (d *Demo) zoneOut(ctx context.Context) error {
-	z := d.evacuatedZone()
+	z := d.zoneToTakeOut()
 	err := d.applyChange(ctx, "zone "+string(z)+" is taken out", func() (carawaycart.Change, error) {
 		d.fleet.Ledger.SetCutoff(string(z), graceDeadline())
-		return d.admin.SetZone(ctx, z, true)
+		return d.admin.SetZoneOut(ctx, z, true)
 	})
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 func (d *Demo) storeOutage(ctx context.Context) error {
 	d.fleet.Store.SetDown(true)
 	d.printProgress("the store is down")
-	_, err := d.admin.SetZone(ctx, d.evacuatedZone(), false)
+	_, err := d.admin.SetZoneOut(ctx, d.zoneToTakeOut(), false)
 	if err == nil {
 		return errors.New("a change was accepted while the store was down")
 	}
@@ -150,9 +150,9 @@
 
 // zoneBack returns the evacuated zone to service.
 func (d *Demo) zoneBack(ctx context.Context) error {
-	z := d.evacuatedZone()
+	z := d.zoneToTakeOut()
 	err := d.applyChange(ctx, "zone "+string(z)+" is brought back", func() (carawaycart.Change, error) {
-		c, err := d.admin.SetZone(ctx, z, false)
+		c, err := d.admin.SetZoneOut(ctx, z, false)
 		if err == nil {
 			d.fleet.Ledger.SetCutoff(string(z), time.Time{})
 		}
@@ -173,7 +173,7 @@
 			continue
 		}
 		d.printProgress("planned stop of instance %s", id)
-		stopCtx, cancel := context.WithTimeout(ctx, balancer.StopLimit)
+		stopCtx, cancel := context.WithTimeout(ctx, balancer.StopTimeout)
 		defer cancel()
 		return d.fleet.Stop(stopCtx, id)
 	}
--- a/internal/demo/token.go
+++ b/internal/demo/token.go
@@ -40,7 +40,7 @@
 	*standin.Site
 	options   TokenOptions
 	machines  []standin.Machine // the emulated machines on which the instances run
-	instances []*edge.Edge      // by index in machines; nil while the instance is down
+	instances []*edge.Instance  // by index in machines; nil while the instance is down
 	logs      []*eventlog.Log   // by index in machines
 }
 
@@ -68,7 +68,7 @@
 			}
 		}
 	}
-	if err := r.await(ctx, func() bool { return site.Routers.Ready() == len(r.machines) }); err != nil {
+	if err := r.await(ctx, func() bool { return site.Routers.ReadyCount() == len(r.machines) }); err != nil {
 		return "", nil, errors.Annotate(err, "wait for all instances to enter rotation")
 	}
 	site.BeginLoad(o.Feeds, o.RequestsPerSecond)
@@ -82,7 +82,7 @@
 		}
 	}
 	site.EndLoad()
-	return fmt.Sprintf("%s, store calls %d", site.Ledger.Summary(), site.Store.Calls()), site.Ledger.Broken(), nil
+	return fmt.Sprintf("%s, store calls %d", site.Ledger.Summary(), site.Store.Calls()), site.Ledger.Violations(), nil
 }
 
 // tokenStep is one step of the demo, a planned change or a failure.
@@ -100,12 +100,12 @@
 	return []tokenStep{
 		{"steady load", withoutError(func() {})},
 		{"an endpoint drains, another starts cold", func() error {
-			r.Drain(r.Hosts[0])
-			_, err := r.AddHost(r.Zones[0], 2*time.Second)
+			r.Drain(r.Endpoints[0])
+			_, err := r.AddEndpoint(r.Zones[0], 2*time.Second)
 			return err
 		}},
-		{"an instance is killed", withoutError(func() { r.Disturb(); r.killInstance(0) })},
-		{"an endpoint becomes silent", withoutError(func() { r.Disturb(); r.Hosts[2].Set(standin.Dark) })},
+		{"an instance is killed", withoutError(func() { r.RecordDisturbance(); r.killInstance(0) })},
+		{"an endpoint becomes silent", withoutError(func() { r.RecordDisturbance(); r.Endpoints[2].SetCondition(standin.Crashed) })},
 		{"the store stops responding, the killed instance is restarted", func() error {
 			r.Store.SetFault("", standin.FaultSilent) // for all instances
 			return r.startInstance(0)
@@ -114,13 +114,13 @@
 			r.Store.SetFault("", standin.FaultNone)
 			return r.Configure(true)
 		}},
-		{"zone " + zone + " is taken out", withoutError(func() { r.Evacuate(zone, false) })},
+		{"zone " + zone + " is taken out", withoutError(func() { r.SetZoneInService(zone, false) })},
 		{"an instance stops as planned", withoutError(func() {
 			r.instances[4].Stop()
 			r.logs[4].Close()
 			r.instances[4] = nil
 		})},
-		{"zone " + zone + " is brought back", withoutError(func() { r.Evacuate(zone, true) })},
+		{"zone " + zone + " is brought back", withoutError(func() { r.SetZoneInService(zone, true) })},
 	}
 }
 
@@ -132,11 +132,11 @@
 	if seed := r.machines[len(r.machines)-1]; seed != m {
 		text += "[peers]\nseeds = " + seed.IP + ":1\n"
 	}
-	s, err := settings.Parse(m.Name, []byte(text))
+	s, err := settings.Parse(m.InstanceID, []byte(text))
 	if err != nil {
 		return err
 	}
-	sockets, err := edge.Open(s)
+	sockets, err := edge.OpenSockets(s)
 	if err != nil {
 		return err
 	}
--- a/internal/edge/counters.go
+++ b/internal/edge/counters.go
@@ -84,8 +84,8 @@
 	metrics.NewRegisteredFunctionalGauge("viewAgeMillis", c.Registry, ageMillis)
 }
 
-// Fault counts a datagram that could not be decoded.
-func (c *Counters) Fault(f carawaycart.Fault) { c.faults[f].Inc(1) }
+// CountFault counts a datagram that could not be decoded.
+func (c *Counters) CountFault(f carawaycart.Fault) { c.faults[f].Inc(1) }
 
 // CountStoreCall counts a call to the store, where call is its kind. It ignores
 // unknown kinds and outcomes.
@@ -95,9 +95,9 @@
 	}
 }
 
-// Sent counts bytes sent to a peer, for all methods together. It implements
+// CountSent counts bytes sent to a peer, for all methods together. It implements
 // peer.Meter.
-func (c *Counters) Sent(_ string, bytes int) { c.PeerBytes.Inc(int64(bytes)) }
+func (c *Counters) CountSent(_ string, bytes int) { c.PeerBytes.Inc(int64(bytes)) }
 
 // CountDecision counts decision d and samples took, the time that it took.
 func (c *Counters) CountDecision(d *carawaycart.Decision, took time.Duration) {
--- a/internal/edge/disseminator.go
+++ b/internal/edge/disseminator.go
@@ -91,24 +91,24 @@
 // Broadcast sends delta, the result of a read of the store that began at began, to
 // the peers of the zone and to relays in other zones. Delta may be empty; the peers
 // then learn only that the store has been read.
-func (d *Disseminator) Broadcast(delta directory.Difference, began time.Time) {
+func (d *Disseminator) Broadcast(delta directory.Delta, began time.Time) {
 	state := d.view.State()
-	update := d.update(&delta, began, state.StoreFailure)
+	update := d.newUpdate(&delta, began, state.StoreFailure)
 	update.Relay = true
 	d.send(update, d.relayPeers(state.Instances))
 	update.Relay = false
 	d.send(update, d.zonePeers(state.Instances))
 }
 
-// update returns the message for a delta read at began, where failure is the time
+// newUpdate returns the message for a delta read at began, where failure is the time
 // of the last store failure, or zero if none is known. The message is partial,
 // without items, if it would exceed maxUpdateBytes.
-func (d *Disseminator) update(delta *directory.Difference, began, failure time.Time) *message.DirectoryNews {
+func (d *Disseminator) newUpdate(delta *directory.Delta, began, failure time.Time) *message.DirectoryNews {
 	now := d.clock.Now()
 	update := &message.DirectoryNews{
 		From: string(d.self), FromRevision: uint64(delta.From), ToRevision: uint64(delta.To),
 		AgeMs: uint32(max(now.Sub(began), 0).Milliseconds()),
-		Items: message.FromItems(delta.Items), Missing: delta.Missing,
+		Items: message.FromItems(delta.Items), Missing: delta.RemovedKeys,
 	}
 	if !failure.IsZero() {
 		update.TroubleMs = uint32(max(now.Sub(failure), 0).Milliseconds()) + 1
@@ -214,7 +214,7 @@
 	}
 	if len(update.GetSilentTokens()) > 0 {
 		for _, t := range update.GetSilentTokens() {
-			d.router.Doubt(carawaycart.Token(t))
+			d.router.RequestProbe(carawaycart.Token(t))
 		}
 		return
 	}
@@ -223,7 +223,7 @@
 		for i, o := range update.GetOutcomes() {
 			outcomes[i] = steer.Outcomes{Token: carawaycart.Token(o.GetToken()), Failed: int(o.GetFailed()), Answered: int(o.GetAnswered())}
 		}
-		d.router.TakeOutcomes(outcomes, d.clock.Now())
+		d.router.MergeOutcomes(outcomes, d.clock.Now())
 		return
 	}
 	now := d.clock.Now()
@@ -232,12 +232,12 @@
 		d.view.RecordStoreFailure(now.Add(-time.Duration(update.GetTroubleMs()-1) * time.Millisecond))
 	}
 	before := d.view.State()
-	delta := message.ToDifference(update)
-	if update.GetPartial() && delta.To > before.At || !d.view.ApplyUpdate(delta, update.GetFrom(), began) {
+	delta := message.ToDelta(update)
+	if update.GetPartial() && delta.To > before.Revision || !d.view.ApplyUpdate(delta, update.GetFrom(), began) {
 		d.startFetch(update, from)
 		return
 	}
-	if update.GetRelay() && began.Sub(before.Confirmed) > minRelayAdvance || update.GetRelay() && delta.To > before.At {
+	if update.GetRelay() && began.Sub(before.LastReadAt) > minRelayAdvance || update.GetRelay() && delta.To > before.Revision {
 		d.relay(update, before.Instances)
 	}
 }
@@ -277,7 +277,7 @@
 // Join is like Fetch, and also asks the peer to register own.
 func (d *Disseminator) Join(ctx context.Context, address netip.AddrPort, own carawaycart.Registration) bool {
 	return d.requestSnapshot(ctx, address, address.String(), &message.DirectoryRequest{
-		Revision: uint64(d.view.State().At), Id: string(own.ID), Zone: string(own.Zone), PeerAddress: own.PeerAddress.String(),
+		Revision: uint64(d.view.State().Revision), Id: string(own.ID), Zone: string(own.Zone), PeerAddress: own.PeerAddress.String(),
 	})
 }
 
@@ -285,7 +285,7 @@
 // returns false if the request failed or the peer has not read the store yet. The
 // name identifies the peer in the log.
 func (d *Disseminator) Fetch(ctx context.Context, address netip.AddrPort, name string) bool {
-	return d.requestSnapshot(ctx, address, name, &message.DirectoryRequest{Revision: uint64(d.view.State().At)})
+	return d.requestSnapshot(ctx, address, name, &message.DirectoryRequest{Revision: uint64(d.view.State().Revision)})
 }
 
 // requestSnapshot sends r to the peer at address and applies the reply to the view,
@@ -296,14 +296,14 @@
 	reply := &message.DirectoryCopy{}
 	err := d.client.Call(ctx, address, "Directory", r, reply)
 	if err == nil {
-		var snapshot directory.Copy
-		if snapshot, err = message.ToCopy(reply); err == nil && snapshot.At > 0 {
+		var snapshot directory.Snapshot
+		if snapshot, err = message.ToSnapshot(reply); err == nil && snapshot.Revision > 0 {
 			d.view.ApplySnapshot(snapshot, name, began.Add(-time.Duration(reply.GetAgeMs())*time.Millisecond))
 			return true
 		}
 	}
 	if err != nil {
-		d.client.Drop(address)
+		d.client.Disconnect(address)
 		d.log.Event("fetchFailed").Text("peer", name).Err(err).End()
 	}
 	return false
@@ -334,7 +334,7 @@
 type snapshotCache struct {
 	mu              sync.Mutex
 	since, revision carawaycart.StoreRevision // reply updates a directory from since to revision
-	confirmed       time.Time                 // start of the read of the store that reply reflects
+	readAt          time.Time                 // start of the read of the store that reply reflects
 	encodedAt       time.Time                 // when reply was encoded
 	reply           *message.DirectoryCopy
 }
@@ -345,15 +345,15 @@
 func (c *snapshotCache) get(view *View, since carawaycart.StoreRevision, now time.Time) (*message.DirectoryCopy, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reply == nil || c.since != since || c.revision != view.State().At || now.Sub(c.encodedAt) > snapshotCacheTTL {
-		snapshot, confirmed := view.Since(since)
-		reply, err := message.FromCopy(snapshot, 0)
+	if c.reply == nil || c.since != since || c.revision != view.State().Revision || now.Sub(c.encodedAt) > snapshotCacheTTL {
+		snapshot, confirmed := view.SnapshotSince(since)
+		reply, err := message.FromSnapshot(snapshot, 0)
 		if err != nil {
 			return nil, err
 		}
-		c.since, c.revision, c.confirmed, c.encodedAt, c.reply = since, snapshot.At, confirmed, now, reply
+		c.since, c.revision, c.readAt, c.encodedAt, c.reply = since, snapshot.Revision, confirmed, now, reply
 	}
-	age := max(now.Sub(c.confirmed), 0)
+	age := max(now.Sub(c.readAt), 0)
 	return &message.DirectoryCopy{
 		AtRevision: c.reply.GetAtRevision(), AgeMs: uint32(age.Milliseconds()), CompressedBody: c.reply.GetCompressedBody(),
 	}, nil
