--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -36,8 +36,8 @@
 	stopPollPeriod = 50 * time.Millisecond  // time between checks whether a stopping instance may close
 )
 
-// Edge is one running instance of the load balancer.
-type Edge struct {
+// Instance is one running instance of the load balancer.
+type Instance struct {
 	settings atomic.Pointer[settings.Settings]
 	clock    carawaycart.Clock
 	log      *eventlog.Log
@@ -57,24 +57,24 @@
 	readyServer    *http.Server
 	operatorServer *operator.Server
 
-	stopping   atomic.Bool
-	isolated   atomic.Bool  // value in the last logged isolated event
-	lastPacket atomic.Int64 // time of the last packet, in Unix nanoseconds of clock
+	stopping       atomic.Bool
+	loggedIsolated atomic.Bool  // value in the last logged isolated event
+	lastPacket     atomic.Int64 // time of the last packet, in Unix nanoseconds of clock
 }
 
 // New starts an instance with the given settings on open sockets. It returns an
 // error if the server for peers cannot be started.
-func New(s settings.Settings, sockets *Sockets, log *eventlog.Log) (*Edge, error) {
-	clock := carawaycart.NewSteadyClock()
-	e := &Edge{clock: clock, log: log, counters: NewCounters()}
+func New(s settings.Settings, sockets *Sockets, log *eventlog.Log) (*Instance, error) {
+	clock := carawaycart.NewMonotonicClock()
+	e := &Instance{clock: clock, log: log, counters: NewCounters()}
 	e.settings.Store(&s)
 	e.prober = NewProber(clock, e.counters, log)
 	routerObserver := &observer{counters: e.counters, log: log, prober: e.prober}
 	e.router = steer.NewRouter(s.Zone, rand.NewPCG(rand.Uint64(), rand.Uint64()), routerObserver)
 	e.prober.router = e.router
 	e.hedger = NewHedger(e.router, sockets.Fabric, clock, log)
-	e.view = NewView(s.ID, steer.Limits{ColdOverrun: s.ColdOverrun, ColdSlack: s.ColdSlack}, e.router, clock, log)
-	e.store = platform.NewStore(s.Store, e.counters.CountStoreCall)
+	e.view = NewView(s.ID, steer.ColdLimits{ColdOverrun: s.ColdOverrun, ColdSlack: s.ColdSlack}, e.router, clock, log)
+	e.store = platform.NewStore(s.StoreURL, e.counters.CountStoreCall)
 	e.client = peer.NewClient(e.counters)
 	own := carawaycart.Registration{ID: s.ID, Zone: s.Zone, PeerAddress: sockets.Updates.LocalAddr().(*net.UDPAddr).AddrPort()}
 	e.registrar = NewRegistrar(own, e.store, e.view, clock, log)
@@ -86,17 +86,17 @@
 		return nil, err
 	}
 	e.fabricPort = fabric.NewTranslatorPort(sockets.Fabric, s.FabricThreads, func() fabric.Translator {
-		return &translator{router: e.router, clock: clock, counters: e.counters, resetPort: s.Fabric.Port(), lastPacket: &e.lastPacket, hedger: e.hedger}
+		return &translator{router: e.router, clock: clock, counters: e.counters, resetPort: s.FabricAddress.Port(), lastPacket: &e.lastPacket, hedger: e.hedger}
 	})
 	e.counters.RegisterViewGauges(
-		func() int64 { return int64(e.view.State().At) },
-		func() int64 { return clock.Now().Sub(e.view.State().Confirmed).Milliseconds() },
+		func() int64 { return int64(e.view.State().Revision) },
+		func() int64 { return clock.Now().Sub(e.view.State().LastReadAt).Milliseconds() },
 	)
 	e.readyServer = newReadyServer(sockets.Ready, platform.ReadyPath, e.Ready)
 	e.operatorServer = operator.NewServer(sockets.Operator, e, e.counters.Registry)
 	e.reader = NewReader(s, e.store, e.view, e.disseminator, e.registrar, clock, log)
 	go e.join(own)
-	log.Event("started").Text("zone", string(s.Zone)).Text("store", s.Store).End()
+	log.Event("started").Text("zone", string(s.Zone)).Text("store", s.StoreURL).End()
 	return e, nil
 }
 
@@ -117,11 +117,11 @@
 // the seeds. It then fetches the ended lifetimes twice from a peer of another zone:
 // the store does not retain ended lifetimes, although packets of their flows still
 // arrive, and peers of the own zone may have started at the same time.
-func (e *Edge) join(own carawaycart.Registration) {
+func (e *Instance) join(own carawaycart.Registration) {
 	s := e.settings.Load()
-	for attempt := int(rand.Uint32() & math.MaxInt16); len(s.Seeds) > 0 && e.view.State().Confirmed.IsZero() && !e.stopping.Load(); attempt++ {
-		seed := netip.AddrPortFrom(s.Seeds[attempt%len(s.Seeds)].Addr(), s.Peer.Port())
-		if seed == s.Peer {
+	for attempt := int(rand.Uint32() & math.MaxInt16); len(s.Seeds) > 0 && e.view.State().LastReadAt.IsZero() && !e.stopping.Load(); attempt++ {
+		seed := netip.AddrPortFrom(s.Seeds[attempt%len(s.Seeds)].Addr(), s.PeerAddress.Port())
+		if seed == s.PeerAddress {
 			break
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
@@ -142,7 +142,7 @@
 
 // fetchEnded fetches a snapshot, which includes the ended lifetimes, from a random
 // instance of another zone, or of the own zone if there is no other.
-func (e *Edge) fetchEnded() {
+func (e *Instance) fetchEnded() {
 	instances := e.view.State().Instances
 	peers := e.disseminator.remotePeers(instances)
 	if len(peers) == 0 {
@@ -160,7 +160,7 @@
 // Reload applies settings that were read again, or logs err if they could not be
 // read. A change of the instance's ID or zone, of a socket or of the number of
 // fabric threads takes effect at the next start.
-func (e *Edge) Reload(s settings.Settings, err error) {
+func (e *Instance) Reload(s settings.Settings, err error) {
 	if err == nil && s.Format != settings.FormatToken {
 		err = errors.NotValidf("change of fabric format to %q in a running instance", s.Format)
 	}
@@ -169,11 +169,11 @@
 		return
 	}
 	old := e.settings.Swap(&s)
-	e.store.SetBase(s.Store)
-	e.view.SetLimits(steer.Limits{ColdOverrun: s.ColdOverrun, ColdSlack: s.ColdSlack})
-	restart := s.ID != old.ID || s.Zone != old.Zone || s.Fabric != old.Fabric || s.Ready != old.Ready ||
-		s.Peer != old.Peer || s.Operator != old.Operator || s.FabricThreads != old.FabricThreads
-	e.log.Event("reloaded").Text("store", s.Store).Bool("restartNeeded", restart).End()
+	e.store.SetBaseURL(s.StoreURL)
+	e.view.SetLimits(steer.ColdLimits{ColdOverrun: s.ColdOverrun, ColdSlack: s.ColdSlack})
+	restart := s.ID != old.ID || s.Zone != old.Zone || s.FabricAddress != old.FabricAddress || s.ReadyAddress != old.ReadyAddress ||
+		s.PeerAddress != old.PeerAddress || s.OperatorAddress != old.OperatorAddress || s.FabricThreads != old.FabricThreads
+	e.log.Event("reloaded").Text("store", s.StoreURL).Bool("restartNeeded", restart).End()
 }
 
 // isolatedViewAge is the age of the view above which the instance counts as cut
@@ -184,16 +184,16 @@
 // Ready reports whether the fabric may send packets to the instance. An isolated
 // instance is not ready, so that the fabric sends its packets to instances of
 // other zones.
-func (e *Edge) Ready() bool {
-	return !e.stopping.Load() && e.router.Table().Complete() && !e.Isolated()
+func (e *Instance) Ready() bool {
+	return !e.stopping.Load() && e.router.Table().HasConfig() && !e.Isolated()
 }
 
 // Isolated reports whether the instance can reach neither an endpoint that accepts
 // new flows nor the store, directly or through peers. It logs each change.
-func (e *Edge) Isolated() bool {
-	age := e.clock.Now().Sub(e.view.State().Confirmed)
+func (e *Instance) Isolated() bool {
+	age := e.clock.Now().Sub(e.view.State().LastReadAt)
 	isolated := age > isolatedViewAge && !e.router.Reachable()
-	if e.isolated.Swap(isolated) != isolated {
+	if e.loggedIsolated.Swap(isolated) != isolated {
 		e.log.Event("isolated").Bool("isolated", isolated).Millis("viewAgeMs", age).End()
 	}
 	return isolated
@@ -201,7 +201,7 @@
 
 // Stop shuts the instance down gracefully. The instance is no longer ready, but keeps
 // forwarding packets until the fabric sends no more or the grace time is nearly over.
-func (e *Edge) Stop() {
+func (e *Instance) Stop() {
 	began := e.clock.Now()
 	e.stopping.Store(true)
 	e.log.Event("stopping").End()
@@ -218,7 +218,7 @@
 }
 
 // Close shuts the instance down immediately.
-func (e *Edge) Close() {
+func (e *Instance) Close() {
 	e.reader.Close()
 	e.disseminator.Close()
 	e.peerServer.Close()
@@ -244,23 +244,23 @@
 	Operator net.Listener // status, explanations and metrics
 }
 
-// Open opens the sockets at the addresses in s. If one cannot be opened, it returns
+// OpenSockets opens the sockets at the addresses in s. If one cannot be opened, it returns
 // the error and leaves the others open.
-func Open(s settings.Settings) (*Sockets, error) {
+func OpenSockets(s settings.Settings) (*Sockets, error) {
 	sockets := &Sockets{}
 	var err error
-	if sockets.Fabric, err = socket.ListenUDP(s.Fabric, "fabric", 0); err != nil {
+	if sockets.Fabric, err = socket.ListenUDP(s.FabricAddress, "fabric", 0); err != nil {
 		return nil, err
 	}
-	if sockets.Updates, err = socket.ListenUDP(s.Peer, "peer", 0); err != nil {
+	if sockets.Updates, err = socket.ListenUDP(s.PeerAddress, "peer", 0); err != nil {
 		return nil, err
 	}
-	if sockets.Peer, err = socket.Listen(s.Peer, "peer"); err != nil {
+	if sockets.Peer, err = socket.Listen(s.PeerAddress, "peer"); err != nil {
 		return nil, err
 	}
-	if sockets.Ready, err = socket.Listen(s.Ready, "ready"); err != nil {
+	if sockets.Ready, err = socket.Listen(s.ReadyAddress, "ready"); err != nil {
 		return nil, err
 	}
-	sockets.Operator, err = socket.Listen(s.Operator, "operator")
+	sockets.Operator, err = socket.Listen(s.OperatorAddress, "operator")
 	return sockets, err
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -23,7 +23,7 @@
 // it is stopped.
 type instance struct {
 	machine  standin.Machine
-	edge     *edge.Edge
+	edge     *edge.Instance
 	log      *eventlog.Log
 	logLines logLines
 }
@@ -70,7 +70,7 @@
 				i.log.Close()
 			}
 			if t.Failed() {
-				t.Logf("%s logged:\n%s", i.machine.Name, i.logLines.String())
+				t.Logf("%s logged:\n%s", i.machine.InstanceID, i.logLines.String())
 			}
 		}
 		s.Close()
@@ -86,18 +86,18 @@
 			f.start(t, i, "")
 		}
 	}
-	f.await(t, "all instances are in rotation", func() bool { return s.Routers.Ready() == zones*perZone })
+	f.await(t, "all instances are in rotation", func() bool { return s.Routers.ReadyCount() == zones*perZone })
 	return f
 }
 
 // start starts an instance. extraSettings are appended to its settings file.
 func (f *fleet) start(t *testing.T, i *instance, extraSettings string) {
 	t.Helper()
-	s, err := settings.Parse(i.machine.Name, []byte(f.Settings(i.machine)+extraSettings))
+	s, err := settings.Parse(i.machine.InstanceID, []byte(f.Settings(i.machine)+extraSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	sockets, err := edge.Open(s)
+	sockets, err := edge.OpenSockets(s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 func (f *fleet) checkLedger(t *testing.T) {
 	t.Helper()
 	f.EndLoad()
-	for _, b := range f.Ledger.Broken() {
+	for _, b := range f.Ledger.Violations() {
 		t.Error(b)
 	}
 	t.Log(f.Ledger.Summary(), "store calls", f.Store.Calls())
@@ -149,7 +149,7 @@
 	f.BeginLoad(4, 20)
 	f.awaitRequests(t, 300)
 	f.checkLedger(t)
-	if l := f.Ledger; l.Unknown > 0 || l.Refused > 0 {
+	if l := f.Ledger; l.Unknown > 0 || l.NotRun > 0 {
 		t.Errorf("got %s, want every request answered", l.Summary())
 	}
 }
@@ -178,11 +178,11 @@
 	f := newFleet(t, 2, 3, 2)
 	f.BeginLoad(4, 20)
 	f.awaitRequests(t, 100)
-	f.Drain(f.Hosts[0])
-	f.Evacuate("b", false)
+	f.Drain(f.Endpoints[0])
+	f.SetZoneInService("b", false)
 	f.awaitRequests(t, 300)
-	f.Evacuate("b", true)
-	if _, err := f.AddHost("a", 2*time.Second); err != nil {
+	f.SetZoneInService("b", true)
+	if _, err := f.AddEndpoint("a", 2*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Configure(true); err != nil {
@@ -200,10 +200,10 @@
 	f := newFleet(t, 2, 3, 2)
 	f.BeginLoad(4, 20)
 	f.awaitRequests(t, 100)
-	f.Hosts[1].Set(standin.Dark)
-	f.Hosts[4].Set(standin.Cut)
+	f.Endpoints[1].SetCondition(standin.Crashed)
+	f.Endpoints[4].SetCondition(standin.Partitioned)
 	f.awaitRequests(t, 200)
-	f.Hosts[4].Set(standin.Well)
+	f.Endpoints[4].SetCondition(standin.Healthy)
 	f.awaitRequests(t, 200)
 	f.checkLedger(t)
 	if f.Ledger.Answered < 400 {
@@ -215,19 +215,19 @@
 // against changes that do not reach the others through the one that reads the store.
 func TestStoreFaults(t *testing.T) {
 	for name, fault := range map[string]standin.Fault{
-		"busy": standin.FaultBusy, "many": standin.FaultMany, "silent": standin.FaultSilent,
-		"reset": standin.FaultReset, "slow": standin.FaultSlow, "lost": standin.FaultLost,
+		"busy": standin.FaultUnavailable, "many": standin.FaultTooManyRequests, "silent": standin.FaultSilent,
+		"reset": standin.FaultReset, "slow": standin.FaultSlow, "lost": standin.FaultAnswerLost,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, 2, 2, 2)
-			healthyStore := f.instances[0].machine.Store
+			healthyStore := f.instances[0].machine.StoreURL
 			f.BeginLoad(3, 10)
 			f.Store.SetFault("", fault)
 			f.awaitRequests(t, 60)
 			f.Store.SetFault(healthyStore, standin.FaultNone)
 			f.awaitRequests(t, 60)
-			f.Drain(f.Hosts[0])
+			f.Drain(f.Endpoints[0])
 			f.awaitRequests(t, 150)
 			f.Store.SetFault("", standin.FaultNone)
 			f.awaitRequests(t, 60)
@@ -279,20 +279,20 @@
 	f := newFleet(t, 1, 2, 1)
 	f.BeginLoad(2, 20)
 	f.awaitRequests(t, 30)
-	for _, h := range f.Hosts {
-		h.Set(standin.Unreachable)
+	for _, h := range f.Endpoints {
+		h.SetCondition(standin.Unreachable)
 	}
 	f.awaitRequests(t, 60)
 	if e := f.instances[0].edge; !e.Ready() {
 		t.Error("got an instance that reaches the store not ready, want ready, since other zones cannot reach the endpoints either")
 	}
 	f.Store.SetFault("", standin.FaultSilent)
-	f.await(t, "the isolated instance is out of rotation", func() bool { return f.Routers.Ready() == 0 })
+	f.await(t, "the isolated instance is out of rotation", func() bool { return f.Routers.ReadyCount() == 0 })
 	if s := f.instances[0].edge.Status(); s.State != "isolated" || len(s.Alarms) == 0 {
 		t.Errorf("got state %s, alarms %q, want isolated and an alarm", s.State, s.Alarms)
 	}
-	f.Hosts[0].Set(standin.Well)
-	f.await(t, "the instance is back in rotation", func() bool { return f.Routers.Ready() == 1 })
+	f.Endpoints[0].SetCondition(standin.Healthy)
+	f.await(t, "the instance is back in rotation", func() bool { return f.Routers.ReadyCount() == 1 })
 	f.awaitRequests(t, 30)
 	f.checkLedger(t)
 }
@@ -305,7 +305,7 @@
 	f := newFleet(t, 1, 2, 2)
 	f.BeginLoad(2, 10)
 	f.awaitRequests(t, 40)
-	f.Hosts[1].Set(standin.Unreachable)
+	f.Endpoints[1].SetCondition(standin.Unreachable)
 	e := f.instances[0].edge
 	f.await(t, "the unreachable endpoint raises an alarm", func() bool { return len(e.Status().Alarms) > 0 })
 	s := e.Status()
@@ -323,7 +323,7 @@
 	if _, err := e.ExplainFlow(key); !errors.Is(err, errors.NotFound) {
 		t.Errorf("got error %v for an address without a route, want NotFound", err)
 	}
-	response, err := http.Get("http://" + f.instances[0].machine.Metrics + "/metrics")
+	response, err := http.Get("http://" + f.instances[0].machine.OperatorAddress + "/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/hedger.go
+++ b/internal/edge/hedger.go
@@ -69,7 +69,7 @@
 // to an endpoint in zone at now. The packet in b follows the endpoint's number. The
 // copy is resent to another endpoint if no answer arrives within the zone's timeout.
 func (h *Hedger) Schedule(key *carawaycart.FlowKey, b []byte, zone carawaycart.ZoneID, now time.Time) {
-	p := pendingPacket{key: *key, data: append([]byte(nil), b...), due: now.Add(h.router.Patience(zone))}
+	p := pendingPacket{key: *key, data: append([]byte(nil), b...), due: now.Add(h.router.FirstPacketTimeout(zone))}
 	h.mu.Lock()
 	wasEmpty := len(h.pending) == 0
 	if len(h.pending) < maxPendingPackets {
@@ -113,8 +113,8 @@
 	if !ok {
 		return
 	}
-	platform.SetToken(p.data[platform.NumberBytes:], d.Token)
-	platform.PutNumber(p.data, d.Number)
+	platform.SetToken(p.data[platform.EndpointNumberBytes:], d.Token)
+	platform.PutEndpointNumber(p.data, d.Number)
 	if _, err := h.conn.WriteToUDPAddrPort(p.data, d.Address); err != nil {
 		h.log.Event("hedgeFailed").Flow(&p.key).Err(err).End()
 	}
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -18,12 +18,12 @@
 }
 
 // Placed logs the endpoint that a first packet is sent to.
-func (o *observer) Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *steer.Candidate, placing steer.Placing) {
+func (o *observer) Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *steer.Candidate, placing steer.Placement) {
 	o.counters.Placed.Inc(1)
-	if placing.Hedge > 0 {
+	if placing.EndpointsTried > 0 {
 		o.counters.Hedged.Inc(1)
 	}
-	o.log.Event("placed").Flow(key).Int("copy", int64(placing.Copy)).Int("hedge", int64(placing.Hedge)).Text("endpoint", string(e)).
+	o.log.Event("placed").Flow(key).Int("copy", int64(placing.Retransmissions)).Int("hedge", int64(placing.EndpointsTried)).Text("endpoint", string(e)).
 		Int("outstanding", int64(c.Outstanding)).Bool("avoided", c.Avoided).Bool("failing", c.Failing).Bool("cold", c.Cold).
 		Int("candidates", int64(placing.Candidates)).Int("revision", int64(placing.Revision)).End()
 }
@@ -50,24 +50,24 @@
 	o.log.Event("recovered").Text("endpoint", string(e)).End()
 }
 
-// Doubted starts probing an endpoint.
-func (o *observer) Doubted(l *carawaycart.Lifetime) { o.prober.Probe(l) }
+// ProbeRequested starts probing an endpoint.
+func (o *observer) ProbeRequested(l *carawaycart.Lifetime) { o.prober.Probe(l) }
 
-// Silenced logs that an endpoint has become silent, or has answered again.
-func (o *observer) Silenced(e carawaycart.EndpointID, silent bool) {
+// SilenceChanged logs that an endpoint has become silent, or has answered again.
+func (o *observer) SilenceChanged(e carawaycart.EndpointID, silent bool) {
 	o.counters.Silenced.Inc(boolToInt(silent))
 	o.log.Event("silent").Text("endpoint", string(e)).Bool("silent", silent).End()
 }
 
 // Overloaded logs the share of new flows of a service that are refused.
 func (o *observer) Overloaded(v steer.Overload) {
-	o.log.Event("overload").Text("service", string(v.Service)).Int("slowPercent", percent(v.Slow)).
-		Int("refusedPercent", percent(v.Level)).Int("urgentPercent", percent(v.Urgent)).End()
+	o.log.Event("overload").Text("service", string(v.Service)).Int("slowPercent", percent(v.SlowShare)).
+		Int("refusedPercent", percent(v.RefusedShare)).Int("urgentPercent", percent(v.UrgentRefusedShare)).End()
 }
 
-// Failing logs the counts of failed and answered requests of endpoints that left
+// RequestsFailed logs the counts of failed and answered requests of endpoints that left
 // requests unanswered, and sends the counts to the peers of the zone.
-func (o *observer) Failing(outcomes []steer.Outcomes) {
+func (o *observer) RequestsFailed(outcomes []steer.Outcomes) {
 	for _, f := range outcomes {
 		o.log.Event("failing").Int("token", int64(f.Token)).Int("failed", int64(f.Failed)).Int("answered", int64(f.Answered)).End()
 	}
--- a/internal/edge/operatorconfig_test.go
+++ b/internal/edge/operatorconfig_test.go
@@ -40,27 +40,27 @@
 	put(carawaycart.KindZone, "a", carawaycart.Zone{ID: "a"})
 	f.awaitRequests(t, 100) // takes longer than the next read of the store
 	const coldPeriod = 4 * time.Second
-	coldHost, err := f.AddHost("a", coldPeriod)
+	coldHost, err := f.AddEndpoint("a", coldPeriod)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.await(t, "the cold endpoint is listed", func() bool { return len(f.instances[0].edge.Status().Endpoints) == 5 })
 	f.awaitRequests(t, 100)
-	if n := coldHost.FirstPackets(); n > 2 {
+	if n := coldHost.NewFlows(); n > 2 {
 		t.Errorf("got %d new flows at a cold endpoint, want at most the 2 that its profile allows", n)
 	}
-	if _, err := a.SetZone(t.Context(), "b", true); err == nil {
+	if _, err := a.SetZoneOut(t.Context(), "b", true); err == nil {
 		t.Error("got no error for taking out a zone that operators never set")
 	}
-	if _, err := a.SetZone(t.Context(), "a", true); err != nil {
+	if _, err := a.SetZoneOut(t.Context(), "a", true); err != nil {
 		t.Fatal(err)
 	}
-	for _, host := range f.Hosts {
+	for _, host := range f.Endpoints {
 		if host.Zone == "a" {
-			host.Forbid(time.Now().Add(standin.EvacuateBound))
+			host.ForbidNewFlows(time.Now().Add(standin.EvacuationTimeLimit))
 		}
 	}
-	f.await(t, "the time limit of the evacuation has passed", func() bool { return f.Hosts[0].Forbidden() })
+	f.await(t, "the time limit of the evacuation has passed", func() bool { return f.Endpoints[0].NewFlowsForbidden() })
 	f.awaitRequests(t, 100)
 	f.checkLedger(t)
 }
--- a/internal/edge/prober.go
+++ b/internal/edge/prober.go
@@ -82,7 +82,7 @@
 		for period := initialProbePeriod; ; period = min(2*period, maxProbePeriod) {
 			began := p.clock.Now()
 			alive := p.probeOnce("http://"+address+p.router.Table().HealthPath(service), id)
-			again, silent := p.router.Probed(key, alive, began, p.clock.Now())
+			again, silent := p.router.RecordProbe(key, alive, began, p.clock.Now())
 			if !again {
 				return
 			}
@@ -118,6 +118,6 @@
 		return connected.Load()
 	}
 	_ = response.Body.Close()
-	responder := response.Header.Get(platform.EndpointHeader)
+	responder := response.Header.Get(platform.EndpointIDHeader)
 	return responder == "" || responder == id
 }
--- a/internal/edge/prober_test.go
+++ b/internal/edge/prober_test.go
@@ -25,7 +25,7 @@
 			}
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}))
-		p := NewProber(carawaycart.NewSteadyClock(), NewCounters(), nil)
+		p := NewProber(carawaycart.NewMonotonicClock(), NewCounters(), nil)
 		if got := p.probeOnce(s.URL, "i-1"); got != test.want {
 			t.Errorf("%s: got alive %t, want %t", test.name, got, test.want)
 		}
@@ -39,7 +39,7 @@
 func TestProbeOfClosedPort(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	s.Close()
-	p := NewProber(carawaycart.NewSteadyClock(), NewCounters(), nil)
+	p := NewProber(carawaycart.NewMonotonicClock(), NewCounters(), nil)
 	defer p.Close()
 	if p.probeOnce(s.URL, "i-1") {
 		t.Error("got alive for a closed port, want not alive")
@@ -51,7 +51,7 @@
 func TestProbeOfOverloadedEndpoint(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer s.Close()
-	p := NewProber(carawaycart.NewSteadyClock(), NewCounters(), nil)
+	p := NewProber(carawaycart.NewMonotonicClock(), NewCounters(), nil)
 	defer p.Close()
 	if !p.probeOnce(s.URL, "i-1") {
 		t.Error("got not alive for an endpoint that accepts connections, want alive")
--- a/internal/edge/reader.go
+++ b/internal/edge/reader.go
@@ -93,7 +93,7 @@
 // headStart returns how long the instance waits for its seeds before it reads the
 // store. It is zero for an instance that is a seed or has no seeds.
 func headStart(s settings.Settings) time.Duration {
-	isSelf := func(a netip.AddrPort) bool { return a.Addr() == s.Peer.Addr() }
+	isSelf := func(a netip.AddrPort) bool { return a.Addr() == s.PeerAddress.Addr() }
 	switch {
 	case len(s.Seeds) == 0 || slices.ContainsFunc(s.Seeds, isSelf):
 		return 0
@@ -120,7 +120,7 @@
 		t := time.NewTimer(wait)
 		defer t.Stop()
 		var renewed <-chan struct{}
-		if state.Confirmed.IsZero() {
+		if state.LastReadAt.IsZero() {
 			renewed = state.Renewed
 		}
 		select {
@@ -129,7 +129,7 @@
 		case <-renewed:
 		case <-t.C:
 		}
-		if !r.view.State().Confirmed.Equal(state.Confirmed) {
+		if !r.view.State().LastReadAt.Equal(state.LastReadAt) {
 			r.registrar.Reconcile(ctx)
 			return
 		}
@@ -141,10 +141,10 @@
 // nextRead returns the time at which the instance reads the store, unless it learns
 // of a read by a peer before that time.
 func (r *Reader) nextRead(state *State) time.Time {
-	if state.Confirmed.IsZero() {
+	if state.LastReadAt.IsZero() {
 		return laterTime(r.firstRead, r.clock.Now().Add(r.backoff(firstReadRetryPeriod)))
 	}
-	nextRead := state.Confirmed.Add(readPeriod + readDelay(r.self, r.zone, state.Instances, r.registrar.Written()))
+	nextRead := state.LastReadAt.Add(readPeriod + readDelay(r.self, r.zone, state.Instances, r.registrar.Written()))
 	if r.failures > 0 {
 		if retry := r.clock.Now().Add(r.backoff(retryPeriod)); retry.After(nextRead) {
 			return retry
@@ -208,12 +208,12 @@
 		return
 	}
 	if r.failures > 0 {
-		r.log.Event("storeRegained").Int("failures", int64(r.failures)).Int("revision", int64(read.At)).End()
+		r.log.Event("storeRegained").Int("failures", int64(r.failures)).Int("revision", int64(read.Revision)).End()
 	}
 	r.failures = 0
 	delta := r.view.ApplyRead(read, began)
-	r.log.Event("read").Int("revision", int64(read.At)).Int("written", int64(len(delta.Items))).
-		Int("missing", int64(len(delta.Missing))).Millis("tookMs", now.Sub(began)).End()
+	r.log.Event("read").Int("revision", int64(read.Revision)).Int("written", int64(len(delta.Items))).
+		Int("missing", int64(len(delta.RemovedKeys))).Millis("tookMs", now.Sub(began)).End()
 	r.disseminator.Broadcast(delta, began)
 }
 
--- a/internal/edge/registrar.go
+++ b/internal/edge/registrar.go
@@ -90,7 +90,7 @@
 	defer g.mu.Unlock()
 	state := g.view.State()
 	now := g.clock.Now()
-	if state.Confirmed.IsZero() {
+	if state.LastReadAt.IsZero() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
@@ -107,7 +107,7 @@
 	}
 	if g.lease != 0 && now.After(g.renewAt) {
 		g.renewAt = now.Add(registerRetryPeriod)
-		if err := g.store.Renew(ctx, g.lease); err != nil {
+		if err := g.store.RenewLease(ctx, g.lease); err != nil {
 			g.lease = 0
 			g.log.Event("leaseLost").Err(err).End()
 			return
@@ -142,13 +142,13 @@
 		items = append(items, carawaycart.StoreItem{Key: platform.InstanceKey(r.ID), Value: value})
 	}
 	if g.lease == 0 {
-		lease, err := g.store.Grant(ctx, leaseTTL)
+		lease, err := g.store.GrantLease(ctx, leaseTTL)
 		if err != nil {
 			return err
 		}
 		g.lease, g.renewAt = lease, now.Add(renewPeriod)
 	}
-	for chunk := range slices.Chunk(items, platform.MaxWrites) {
+	for chunk := range slices.Chunk(items, platform.MaxTransactionWrites) {
 		if err := g.store.PutAll(ctx, chunk, g.lease); err != nil {
 			g.lease = 0 // the lease may have expired
 			return err
--- a/internal/edge/status.go
+++ b/internal/edge/status.go
@@ -18,12 +18,12 @@
 
 // Status returns the state of the instance and its alarms, the registered
 // instances, and the endpoints.
-func (e *Edge) Status() operator.Status {
+func (e *Instance) Status() operator.Status {
 	now := e.clock.Now()
 	view := e.view.State()
 	s := e.settings.Load()
 	status := operator.Status{
-		Instance: s.ID, Zone: s.Zone, State: e.state(), Revision: carawaycart.Revision(view.At), Alarms: e.alarms(&view, now),
+		Instance: s.ID, Zone: s.Zone, State: e.state(), Revision: carawaycart.Revision(view.Revision), Alarms: e.alarms(&view, now),
 	}
 	for _, i := range view.Instances {
 		status.Members = append(status.Members, operator.MemberStatus{ID: i.ID, Zone: i.Zone, State: "registered"})
@@ -34,7 +34,7 @@
 	return status
 }
 
-func (e *Edge) state() string {
+func (e *Instance) state() string {
 	switch {
 	case e.stopping.Load():
 		return carawaycart.MemberLeft.String()
@@ -46,15 +46,15 @@
 	return carawaycart.MemberJoining.String()
 }
 
-func (e *Edge) alarms(view *State, now time.Time) []string {
-	if view.Confirmed.IsZero() {
+func (e *Instance) alarms(view *State, now time.Time) []string {
+	if view.LastReadAt.IsZero() {
 		return []string{"the store has not been read"}
 	}
 	var alarms []string
 	if e.Isolated() {
 		alarms = append(alarms, "neither an endpoint nor the store can be reached; other zones are sent the packets")
 	}
-	if age := now.Sub(view.Confirmed); age > maxViewAge {
+	if age := now.Sub(view.LastReadAt); age > maxViewAge {
 		alarms = append(alarms, fmt.Sprintf("the view is %v old", age.Round(time.Millisecond)))
 	}
 	for _, v := range e.router.Endpoints(now) {
@@ -94,14 +94,14 @@
 
 // ExplainFlow returns the endpoint that packets of the flow key are sent to, and
 // why. It returns a NotFound error if the flow's service address has no route.
-func (e *Edge) ExplainFlow(key carawaycart.FlowKey) (operator.FlowExplanation, error) {
+func (e *Instance) ExplainFlow(key carawaycart.FlowKey) (operator.FlowExplanation, error) {
 	now := e.clock.Now()
 	flow := e.router.Flow(&key, now)
-	explanation := operator.FlowExplanation{Revision: carawaycart.Revision(e.view.State().At), DecidedBy: e.settings.Load().ID}
+	explanation := operator.FlowExplanation{Revision: carawaycart.Revision(e.view.State().Revision), DecidedBy: e.settings.Load().ID}
 	switch {
 	case !flow.Routed:
 		return explanation, errors.NotFoundf("route for %s", key.Service)
-	case !flow.Seen:
+	case !flow.Tracked:
 		explanation.Rule = "by the token of each packet; none of this flow passed here lately"
 		return explanation, nil
 	}
@@ -116,6 +116,6 @@
 
 // ExplainKey returns an empty explanation, since the instance forwards packets
 // without reading requests and has no record of keyed requests.
-func (e *Edge) ExplainKey(key carawaycart.IdempotencyKey) operator.KeyExplanation {
+func (e *Instance) ExplainKey(key carawaycart.IdempotencyKey) operator.KeyExplanation {
 	return operator.KeyExplanation{Key: key}
 }
--- a/internal/edge/translator.go
+++ b/internal/edge/translator.go
@@ -22,11 +22,11 @@
 }
 
 // Headroom returns the length of the endpoint's number, which precedes a packet.
-func (*translator) Headroom() int { return platform.NumberBytes }
+func (*translator) Headroom() int { return platform.EndpointNumberBytes }
 
-// MaxDatagram returns the length of the longest packet plus one byte, so that
+// ReceiveBufferBytes returns the length of the longest packet plus one byte, so that
 // longer packets can be detected.
-func (*translator) MaxDatagram() int { return platform.MaxPacket + 1 }
+func (*translator) ReceiveBufferBytes() int { return platform.MaxPacketBytes + 1 }
 
 // Translate returns what to send for the packet that begins in b after the headroom,
 // and its destination: the packet itself after the endpoint's number, for an endpoint, or
@@ -34,9 +34,9 @@
 // sent.
 func (t *translator) Translate(b []byte) ([]byte, netip.AddrPort, bool) {
 	began := time.Now()
-	p, data := &t.packet, b[platform.NumberBytes:]
+	p, data := &t.packet, b[platform.EndpointNumberBytes:]
 	if fault := platform.DecodePacket(data, p); fault != carawaycart.FaultNone {
-		t.counters.Fault(fault)
+		t.counters.CountFault(fault)
 		return nil, netip.AddrPort{}, false
 	}
 	now := t.clock.Now()
@@ -48,7 +48,7 @@
 		if p.Kind == carawaycart.PacketFirst {
 			platform.SetToken(data, d.Token)
 		}
-		platform.PutNumber(b, d.Number)
+		platform.PutEndpointNumber(b, d.Number)
 		if p.Kind == carawaycart.PacketFirst {
 			t.hedger.Schedule(&p.Key, b, d.Zone, now)
 		}
--- a/internal/edge/view.go
+++ b/internal/edge/view.go
@@ -22,48 +22,48 @@
 // table when the replica changes. It is safe for concurrent use.
 type View struct {
 	self   carawaycart.InstanceID
-	limits steer.Limits
+	limits steer.ColdLimits
 	router *steer.Router
 	clock  carawaycart.Clock
 	log    *eventlog.Log
 
 	mu             sync.Mutex
 	directory      *directory.Directory
-	tracker        *directory.Roster // presence of each lifetime
+	tracker        *directory.LifetimeTracker // presence of each lifetime
 	contents       directory.Contents
 	operatorConfig *config.Configuration // set by operators with the carawaycart commands
-	confirmed      time.Time             // start of the last known read of the store
+	lastReadAt     time.Time             // start of the last known read of the store
 	storeFailure   time.Time             // time of the last known store failure
 	renewed        chan struct{}         // closed and replaced when confirmed advances
 }
 
 // NewView returns an empty view for instance self that sets the tables of r.
-func NewView(self carawaycart.InstanceID, l steer.Limits, r *steer.Router, k carawaycart.Clock, log *eventlog.Log) *View {
+func NewView(self carawaycart.InstanceID, l steer.ColdLimits, r *steer.Router, k carawaycart.Clock, log *eventlog.Log) *View {
 	return &View{
 		self: self, limits: l, router: r, clock: k, log: log,
-		directory: directory.New(platform.Decode), tracker: directory.NewRoster(), renewed: make(chan struct{}),
+		directory: directory.New(platform.DecodeItem), tracker: directory.NewLifetimeTracker(), renewed: make(chan struct{}),
 		operatorConfig: config.New(),
 	}
 }
 
 // SetLimits sets the limits of the router's table, and rebuilds the table if they
 // changed.
-func (v *View) SetLimits(l steer.Limits) {
+func (v *View) SetLimits(l steer.ColdLimits) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.limits == l {
 		return
 	}
 	v.limits = l
-	if v.directory.At() != 0 {
+	if v.directory.Revision() != 0 {
 		v.rebuild("settings", v.clock.Now())
 	}
 }
 
 // State is the state of a view at one moment.
 type State struct {
-	At           carawaycart.StoreRevision  // revision up to which the view is complete
-	Confirmed    time.Time                  // start of the last known read of the store; zero if none
+	Revision     carawaycart.StoreRevision  // revision up to which the view is complete
+	LastReadAt   time.Time                  // start of the last known read of the store; zero if none
 	StoreFailure time.Time                  // last known store failure; zero if none
 	Instances    []carawaycart.Registration // instances listed in the store
 	Renewed      <-chan struct{}            // closed when Confirmed advances
@@ -74,7 +74,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return State{
-		At: v.directory.At(), Confirmed: v.confirmed, StoreFailure: v.storeFailure,
+		Revision: v.directory.Revision(), LastReadAt: v.lastReadAt, StoreFailure: v.storeFailure,
 		Instances: v.contents.Instances, Renewed: v.renewed,
 	}
 }
@@ -82,12 +82,12 @@
 // ApplyRead applies a read of the store that began at began, and returns the delta
 // between the view and the read. A read older than the view is ignored, and its delta
 // is empty.
-func (v *View) ApplyRead(read platform.Read, began time.Time) directory.Difference {
+func (v *View) ApplyRead(read platform.RangeResult, began time.Time) directory.Delta {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	delta := v.directory.Replace(read.Items, read.At)
-	if read.At >= v.directory.At() {
-		v.confirm(began, "store", !delta.Empty())
+	delta := v.directory.ApplyRead(read.Items, read.Revision)
+	if read.Revision >= v.directory.Revision() {
+		v.recordRead(began, "store", !delta.Empty())
 	}
 	return delta
 }
@@ -95,48 +95,48 @@
 // ApplyUpdate applies a delta received from the peer from, for a read of the store
 // that began at began. It returns false if the delta begins at a later revision than
 // the view has, so that a snapshot is needed.
-func (v *View) ApplyUpdate(delta directory.Difference, from string, began time.Time) bool {
+func (v *View) ApplyUpdate(delta directory.Delta, from string, began time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	before := v.directory.At()
-	if !v.directory.Apply(delta) {
+	before := v.directory.Revision()
+	if !v.directory.ApplyDelta(delta) {
 		return false
 	}
-	if delta.To >= v.directory.At() {
-		v.confirm(began, from, delta.To > before && !delta.Empty())
+	if delta.To >= v.directory.Revision() {
+		v.recordRead(began, from, delta.To > before && !delta.Empty())
 	}
 	return true
 }
 
 // ApplySnapshot applies a snapshot received from the peer from, for a read of the
 // store that began at began.
-func (v *View) ApplySnapshot(snapshot directory.Copy, from string, began time.Time) {
+func (v *View) ApplySnapshot(snapshot directory.Snapshot, from string, began time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	endedAdded := v.tracker.Remember(snapshot.Ended, v.clock.Now())
-	changed := v.directory.Adopt(snapshot) || endedAdded
-	if snapshot.At >= v.directory.At() {
-		v.confirm(began, from, changed)
+	endedAdded := v.tracker.RecordEnded(snapshot.Ended, v.clock.Now())
+	changed := v.directory.ApplySnapshot(snapshot) || endedAdded
+	if snapshot.Revision >= v.directory.Revision() {
+		v.recordRead(began, from, changed)
 	} else if endedAdded {
 		v.rebuild(from, v.clock.Now())
 	}
 }
 
-// confirm records that the directory is complete up to a read of the store that
+// recordRead records that the directory is complete up to a read of the store that
 // began at began. It rebuilds the router's table if the directory has changed, or
 // if a lifetime is lapsed, since it may end without such a change. The source is the
 // peer that sent the read, or "store". The caller holds mu.
-func (v *View) confirm(began time.Time, source string, changed bool) {
+func (v *View) recordRead(began time.Time, source string, changed bool) {
 	now := v.clock.Now()
-	if began.Sub(v.confirmed) > maxReadGap && !v.confirmed.IsZero() {
+	if began.Sub(v.lastReadAt) > maxReadGap && !v.lastReadAt.IsZero() {
 		v.recordStoreFailure(now)
 	}
-	if began.After(v.confirmed) {
-		v.confirmed = began
+	if began.After(v.lastReadAt) {
+		v.lastReadAt = began
 		close(v.renewed)
 		v.renewed = make(chan struct{})
 	}
-	if changed || v.tracker.Lapsing() {
+	if changed || v.tracker.HasLapsed() {
 		v.rebuild(source, now)
 	}
 }
@@ -153,15 +153,15 @@
 		v.operatorConfig = operatorConfig
 	}
 	profiles := applyOperatorConfig(&v.contents, v.operatorConfig)
-	v.tracker.Update(&v.contents, now)
+	v.tracker.ApplyContents(&v.contents, now)
 	table := steer.NewTable(&steer.Input{
-		Contents: v.contents, Revision: v.directory.At(), Roster: v.tracker, Self: v.self, Limits: v.limits, Profiles: profiles,
+		Contents: v.contents, Revision: v.directory.Revision(), Lifetimes: v.tracker, Self: v.self, Limits: v.limits, Profiles: profiles,
 	}, v.router.Table(), now)
 	v.router.SetTable(table)
-	v.log.Event("view").Int("revision", int64(v.directory.At())).Int("config", int64(table.Version)).
+	v.log.Event("view").Int("revision", int64(v.directory.Revision())).Int("config", int64(table.ConfigVersion)).
 		Int("lifetimes", int64(len(v.contents.Lifetimes))).Int("instances", int64(len(v.contents.Instances))).
-		Int("zonesOut", int64(len(v.contents.ZonesOut))).Int("refused", int64(v.directory.Refused())).Int("profiles", int64(v.operatorConfig.Revision)).
-		Text("source", source).Millis("ageMs", now.Sub(v.confirmed)).End()
+		Int("zonesOut", int64(len(v.contents.ZonesOut))).Int("refused", int64(v.directory.DecodeFailures())).Int("profiles", int64(v.operatorConfig.Revision)).
+		Text("source", source).Millis("ageMs", now.Sub(v.lastReadAt)).End()
 }
 
 // RecordStoreFailure records that the store failed to answer, or had not been read
@@ -176,16 +176,16 @@
 func (v *View) recordStoreFailure(when time.Time) {
 	if when.After(v.storeFailure) {
 		v.storeFailure = when
-		v.tracker.Trouble(when)
+		v.tracker.RecordStoreFailure(when)
 	}
 }
 
-// Since returns the snapshot that a peer needs whose view is complete up to
+// SnapshotSince returns the snapshot that a peer needs whose view is complete up to
 // revision, and the start of the read of the store that the snapshot reflects.
-func (v *View) Since(revision carawaycart.StoreRevision) (directory.Copy, time.Time) {
+func (v *View) SnapshotSince(revision carawaycart.StoreRevision) (directory.Snapshot, time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	snapshot := v.directory.Since(revision)
-	snapshot.Ended = v.tracker.Ended()
-	return snapshot, v.confirmed
+	snapshot := v.directory.SnapshotSince(revision)
+	snapshot.Ended = v.tracker.EndedLifetimes()
+	return snapshot, v.lastReadAt
 }
--- a/internal/routertest/routertest.go
+++ b/internal/routertest/routertest.go
@@ -12,18 +12,18 @@
 type Fleet interface {
 	// Instances returns the number of instances.
 	Instances() int
-	// First sends the first packet of flow number flow to the given instance and
+	// OpenFlow sends the first packet of flow number flow to the given instance and
 	// returns the decision, which is that of another instance if the first one
 	// relays the packet.
-	First(instance, flow int, now time.Time) carawaycart.Decision
-	// Later sends a further packet of a flow, which First opened with decision d,
+	OpenFlow(instance, flow int, now time.Time) carawaycart.Decision
+	// SendPacket sends a further packet of a flow, which First opened with decision d,
 	// to the given instance, and returns the decision as First does.
-	Later(instance, flow int, d carawaycart.Decision, now time.Time) carawaycart.Decision
-	// Unknown sends the first packet of a flow whose destination address belongs
+	SendPacket(instance, flow int, d carawaycart.Decision, now time.Time) carawaycart.Decision
+	// OpenToUnknownService sends the first packet of a flow whose destination address belongs
 	// to no service to the given instance, and returns the decision.
-	Unknown(instance int, now time.Time) carawaycart.Decision
-	// Drain marks endpoint e as leaving and lets all instances receive the change.
-	Drain(e carawaycart.EndpointID, now time.Time)
+	OpenToUnknownService(instance int, now time.Time) carawaycart.Decision
+	// MarkLeaving marks endpoint e as leaving and lets all instances receive the change.
+	MarkLeaving(e carawaycart.EndpointID, now time.Time)
 	// Restart restarts an instance, which loses its local state.
 	Restart(instance int, now time.Time)
 }
@@ -44,7 +44,7 @@
 	t.Run("UnknownServiceIsNotForwarded", func(t *testing.T) {
 		f := newFleet(t, 2, 3)
 		for i := range f.Instances() {
-			if d := f.Unknown(i, start); d.Verdict == carawaycart.VerdictForward {
+			if d := f.OpenToUnknownService(i, start); d.Verdict == carawaycart.VerdictForward {
 				t.Errorf("instance %d: got a flow to an address of no service forwarded to %s, want it not forwarded", i, d.Endpoint)
 			}
 		}
@@ -54,11 +54,11 @@
 		owners := openFlows(t, f, start)
 		leaving := owners[0].Endpoint
 		now := start.Add(time.Second)
-		f.Drain(leaving, now)
+		f.MarkLeaving(leaving, now)
 		now = now.Add(5 * time.Second)
 		checkOwners(t, f, owners, now)
 		for i := range flowCount {
-			if d := f.First(i%f.Instances(), flowCount+i, now); d.Endpoint == leaving {
+			if d := f.OpenFlow(i%f.Instances(), flowCount+i, now); d.Endpoint == leaving {
 				t.Fatalf("flow %d: got a new flow forwarded to %s, which is leaving", flowCount+i, leaving)
 			}
 		}
@@ -79,7 +79,7 @@
 	t.Helper()
 	owners := make([]carawaycart.Decision, flowCount)
 	for i := range owners {
-		owners[i] = f.First(i%f.Instances(), i, now)
+		owners[i] = f.OpenFlow(i%f.Instances(), i, now)
 		if owners[i].Verdict != carawaycart.VerdictForward {
 			t.Fatalf("flow %d: got verdict %d with cause %s, want it forwarded", i, owners[i].Verdict, owners[i].Cause)
 		}
@@ -93,7 +93,7 @@
 	t.Helper()
 	for i, want := range owners {
 		for instance := range f.Instances() {
-			d := f.Later(instance, i, want, now)
+			d := f.SendPacket(instance, i, want, now)
 			if d.Verdict != carawaycart.VerdictForward || d.Endpoint != want.Endpoint {
 				t.Fatalf("flow %d through instance %d: got verdict %d, endpoint %q and cause %s, want it forwarded to its owner %s",
 					i, instance, d.Verdict, d.Endpoint, d.Cause, want.Endpoint)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -28,22 +28,22 @@
 
 // Settings holds the settings of one instance.
 type Settings struct {
-	ID            carawaycart.InstanceID
-	Zone          carawaycart.ZoneID
-	Fabric        netip.AddrPort   // UDP address for packets from the fabric
-	Request       netip.AddrPort   // TCP address for HTTP requests of callers; set only for FormatGeneve
-	Peer          netip.AddrPort   // TCP address for calls and UDP address for packets of peers
-	Operator      netip.AddrPort   // TCP address for operators and metrics over HTTP
-	Store         string           // URL of the platform's store
-	List          string           // URL of the platform's instance list; set only for FormatGeneve
-	Seeds         []netip.AddrPort // peer addresses of instances through which this one joins the fleet
-	FabricThreads int              // number of threads that forward packets
+	ID              carawaycart.InstanceID
+	Zone            carawaycart.ZoneID
+	FabricAddress   netip.AddrPort   // UDP address for packets from the fabric
+	RequestAddress  netip.AddrPort   // TCP address for HTTP requests of callers; set only for FormatGeneve
+	PeerAddress     netip.AddrPort   // TCP address for calls and UDP address for packets of peers
+	OperatorAddress netip.AddrPort   // TCP address for operators and metrics over HTTP
+	StoreURL        string           // URL of the platform's store
+	InstanceListURL string           // URL of the platform's instance list; set only for FormatGeneve
+	Seeds           []netip.AddrPort // peer addresses of instances through which this one joins the fleet
+	FabricThreads   int              // number of threads that forward packets
 
 	Format Format
 
 	// The fields below are set only for FormatToken.
 
-	Ready        netip.AddrPort      // TCP address of the HTTP readiness check of the fabric
+	ReadyAddress netip.AddrPort      // TCP address of the HTTP readiness check of the fabric
 	GraceSeconds carawaycart.Seconds // time from SIGTERM until the instance is killed
 	FirstStart   bool                // the whole fleet starts for the first time, so seeds get more time to answer
 	ColdOverrun  float64             // limit on the new flows per second of a cold endpoint, as a multiple of ServicePolicy.ColdPerSecond
@@ -127,35 +127,35 @@
 	},
 	{
 		Section: "listen", Key: "fabric", Meaning: "UDP address for packets from the fabric.", Required: true,
-		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.Fabric }),
+		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.FabricAddress }),
 	},
 	{
 		Section: "listen", Key: "request", Meaning: "TCP address for HTTP requests of callers.", Required: true, OnlyFormat: FormatGeneve,
-		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.Request }),
+		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.RequestAddress }),
 	},
 	{
 		Section: "listen", Key: "peer", Meaning: "TCP and UDP address for other instances; must not be a wildcard address.", Required: true,
-		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.Peer }),
+		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.PeerAddress }),
 	},
 	{
 		Section: "listen", Key: "operator", Meaning: "TCP address for operators and metrics over HTTP.", Required: true,
-		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.Operator }),
+		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.OperatorAddress }),
 	},
 	{
 		Section: "listen", Key: "ready", Meaning: "TCP address at which the fabric asks over HTTP whether to send packets.", Required: true, OnlyFormat: FormatToken,
-		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.Ready }),
+		set: addressSetter(func(s *Settings) *netip.AddrPort { return &s.ReadyAddress }),
 	},
 	{
 		Section: "platform", Key: "store", Meaning: "URL of the platform's key-value service.", Required: true,
 		set: func(s *Settings, v string) error {
-			s.Store = v
+			s.StoreURL = v
 			return checkURL(v)
 		},
 	},
 	{
 		Section: "platform", Key: "list", Meaning: "URL of the platform's instance list.", Required: true, OnlyFormat: FormatGeneve,
 		set: func(s *Settings, v string) error {
-			s.List = v
+			s.InstanceListURL = v
 			return checkURL(v)
 		},
 	},
@@ -357,10 +357,10 @@
 // peerAddressFaults returns a fault if peers cannot connect to the peer address of s,
 // which was read from the file with the given name.
 func peerAddressFaults(name string, s *Settings) FaultsError {
-	if s.Peer.IsValid() && s.Peer.Addr().IsUnspecified() {
+	if s.PeerAddress.IsValid() && s.PeerAddress.Addr().IsUnspecified() {
 		return FaultsError{{
 			File: name, Section: "listen", Key: "peer",
-			Problem: fmt.Sprintf("%s is a wildcard address, to which peers cannot connect", s.Peer),
+			Problem: fmt.Sprintf("%s is a wildcard address, to which peers cannot connect", s.PeerAddress),
 		}}
 	}
 	return nil
--- a/internal/standin/flowcaller.go
+++ b/internal/standin/flowcaller.go
@@ -167,7 +167,7 @@
 	hasCutoff := c.ledger.hasCutoff(string(c.zoneOf(endpoint)))
 	c.ledger.Update(func(t *Totals) {
 		if hasCutoff {
-			t.FlowsGivenUpByZoneOut++
+			t.FlowsEndedByZoneOut++
 		} else {
 			t.FlowsBroken++
 		}
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -34,15 +34,15 @@
 	Service        carawaycart.ServiceID
 	ServiceAddress netip.AddrPort
 	Zone           carawaycart.ZoneID
-	Flows          int // maximum number of established flows
-	Slots          int // maximum number of concurrent requests
+	MaxFlows       int // maximum number of established flows
+	RequestSlots   int // maximum number of concurrent requests
 	ColdFlows      int // maximum number of flows opened while cold
 	ColdRequests   int // maximum number of concurrent requests while cold
 }
 
-// Host emulates an endpoint of a service. It rejects flows and requests beyond
+// EmulatedEndpoint emulates an endpoint of a service. It rejects flows and requests beyond
 // its limits, which are lower while it is cold.
-type Host struct {
+type EmulatedEndpoint struct {
 	config     EndpointConfig
 	ledger     *Ledger
 	fabric     *Fabric
@@ -57,8 +57,8 @@
 	coldFlows      int // flows requested since coldSince, including those rejected for the cold limit
 	activeRequests int // requests in progress
 	reportsDown    bool
-	reportHook     func(*carawaycart.Report) // alters load reports; nil if unset
-	reports        []timedReport             // in order of time; the first is served
+	reportHook     func(*carawaycart.LoadReport) // alters load reports; nil if unset
+	reports        []timedReport                 // in order of time; the first is served
 
 	done sync.WaitGroup
 	quit chan struct{}
@@ -66,13 +66,13 @@
 
 // timedReport is a load report and the time at which it was sampled.
 type timedReport struct {
-	report carawaycart.Report
+	report carawaycart.LoadReport
 	time   time.Time
 }
 
-// NewHost starts an endpoint that listens for packets (UDP) and requests (TCP)
+// NewEmulatedEndpoint starts an endpoint that listens for packets (UDP) and requests (TCP)
 // on address, a host:port whose port may be 0.
-func NewHost(c EndpointConfig, address string, l *Ledger, f *Fabric) (*Host, error) {
+func NewEmulatedEndpoint(c EndpointConfig, address string, l *Ledger, f *Fabric) (*EmulatedEndpoint, error) {
 	a, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, errors.Annotatef(err, "resolve address of endpoint %s", c.ID)
@@ -86,7 +86,7 @@
 		_ = packetConn.Close()
 		return nil, errors.Annotatef(err, "listen for endpoint %s", c.ID)
 	}
-	h := &Host{
+	h := &EmulatedEndpoint{
 		config: c, ledger: l, fabric: f, packetConn: packetConn, http: listener,
 		flows: make(map[netip.AddrPort]bool), quit: make(chan struct{}),
 	}
@@ -101,17 +101,17 @@
 }
 
 // Endpoint returns the configuration object that describes the endpoint.
-func (h *Host) Endpoint() carawaycart.Endpoint {
+func (h *EmulatedEndpoint) Endpoint() carawaycart.Endpoint {
 	return carawaycart.Endpoint{
 		ID: h.config.ID, Service: h.config.Service, Zone: h.config.Zone,
 		FlowAddress:    h.packetConn.LocalAddr().(*net.UDPAddr).AddrPort(),
 		RequestAddress: h.http.Addr().(*net.TCPAddr).AddrPort(),
-		Flows:          h.config.Flows, Slots: h.config.Slots,
+		MaxFlows:       h.config.MaxFlows, RequestSlots: h.config.RequestSlots,
 	}
 }
 
 // Close stops the endpoint and waits for its goroutines.
-func (h *Host) Close() {
+func (h *EmulatedEndpoint) Close() {
 	close(h.quit)
 	_ = h.packetConn.Close()
 	_ = h.server.Close()
@@ -119,7 +119,7 @@
 }
 
 // SetCold makes the endpoint cold for d. Established flows continue.
-func (h *Host) SetCold(d time.Duration) {
+func (h *EmulatedEndpoint) SetCold(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.coldSince = time.Now()
@@ -128,7 +128,7 @@
 }
 
 // SetReportsDown starts or ends an outage of the endpoint's load reports.
-func (h *Host) SetReportsDown(reportsDown bool) {
+func (h *EmulatedEndpoint) SetReportsDown(reportsDown bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reportsDown = reportsDown
@@ -136,31 +136,31 @@
 
 // SetReportHook sets a function that alters each load report before it is sent.
 // A nil function removes the hook.
-func (h *Host) SetReportHook(change func(*carawaycart.Report)) {
+func (h *EmulatedEndpoint) SetReportHook(change func(*carawaycart.LoadReport)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reportHook = change
 }
 
 // Flows returns the number of established flows.
-func (h *Host) Flows() int {
+func (h *EmulatedEndpoint) Flows() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.flows)
 }
 
 // Zone returns the availability zone of the endpoint.
-func (h *Host) Zone() carawaycart.ZoneID { return h.config.Zone }
+func (h *EmulatedEndpoint) Zone() carawaycart.ZoneID { return h.config.Zone }
 
-func (h *Host) cold(now time.Time) bool { return now.Before(h.coldUntil) }
+func (h *EmulatedEndpoint) cold(now time.Time) bool { return now.Before(h.coldUntil) }
 
 // coldKnown reports whether the endpoint has been cold for at least coldGrace, so
 // that every instance must have learned of it from the load reports.
-func (h *Host) coldKnown(now time.Time) bool {
+func (h *EmulatedEndpoint) coldKnown(now time.Time) bool {
 	return h.cold(now) && now.Sub(h.coldSince) >= coldGrace
 }
 
-func (h *Host) receive() {
+func (h *EmulatedEndpoint) receive() {
 	var d segmentDecoder
 	buffer := make([]byte, receiveBufferBytes)
 	for {
@@ -179,7 +179,7 @@
 	}
 }
 
-func (h *Host) handleSegment(s *Segment, now time.Time) {
+func (h *EmulatedEndpoint) handleSegment(s *Segment, now time.Time) {
 	if s.Destination != h.config.ServiceAddress {
 		h.ledger.Update(func(t *Totals) { t.PacketsToWrongService++ })
 		return
@@ -192,7 +192,7 @@
 
 // processSegment applies a segment to the flow table and returns the reply for
 // the caller.
-func (h *Host) processSegment(s *Segment, now time.Time) reply {
+func (h *EmulatedEndpoint) processSegment(s *Segment, now time.Time) reply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	known := h.flows[s.Source]
@@ -214,11 +214,11 @@
 }
 
 // openFlow records a new flow and reports whether the limits permit it.
-func (h *Host) openFlow(caller netip.AddrPort, now time.Time) bool {
+func (h *EmulatedEndpoint) openFlow(caller netip.AddrPort, now time.Time) bool {
 	if h.ledger.pastCutoff(string(h.config.ID), now) {
 		h.ledger.Update(func(t *Totals) { t.WorkAfterLeave++ })
 	}
-	if len(h.flows) >= h.config.Flows {
+	if len(h.flows) >= h.config.MaxFlows {
 		return false
 	}
 	if h.cold(now) {
@@ -236,7 +236,7 @@
 
 // sampleReports samples the load every reportInterval and retains the samples for
 // reportDelay, so that reports arrive late as in a real system.
-func (h *Host) sampleReports() {
+func (h *EmulatedEndpoint) sampleReports() {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
@@ -246,7 +246,7 @@
 		case now := <-ticker.C:
 			h.mu.Lock()
 			h.reports = append(h.reports, timedReport{
-				report: carawaycart.Report{Flows: len(h.flows), Requests: h.activeRequests, Cold: h.cold(now)},
+				report: carawaycart.LoadReport{Flows: len(h.flows), Requests: h.activeRequests, Cold: h.cold(now)},
 				time:   now,
 			})
 			for len(h.reports) > 1 && now.Sub(h.reports[1].time) >= reportDelay {
@@ -259,10 +259,10 @@
 
 // handleLoad serves the delayed load report. Before the first sample the report has
 // no flows and requests.
-func (h *Host) handleLoad(w http.ResponseWriter, _ *http.Request) {
+func (h *EmulatedEndpoint) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	h.mu.Lock()
 	reportsDown := h.reportsDown
-	report := carawaycart.Report{Cold: h.cold(time.Now())}
+	report := carawaycart.LoadReport{Cold: h.cold(time.Now())}
 	if len(h.reports) > 0 {
 		report = h.reports[0].report
 	}
@@ -280,15 +280,15 @@
 // RequestAnswer is the body of an endpoint's response to a request. Host is the ID
 // of the endpoint, and Size the length of the request's body in bytes.
 type RequestAnswer struct {
-	Key  carawaycart.IdempotencyKey `json:"key"`
-	Host carawaycart.EndpointID     `json:"host"`
-	Size int                        `json:"size"`
+	Key      carawaycart.IdempotencyKey `json:"key"`
+	Endpoint carawaycart.EndpointID     `json:"host"`
+	Size     int                        `json:"size"`
 }
 
 // handleRequest runs a request, or marks its response as not run if the endpoint
 // has no free slot or the caller's timeout is too short. A request for another
 // service is counted with the packets to a wrong service, and run.
-func (h *Host) handleRequest(w http.ResponseWriter, r *http.Request) {
+func (h *EmulatedEndpoint) handleRequest(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	if r.Host != string(h.config.Service) {
 		h.ledger.Update(func(t *Totals) { t.PacketsToWrongService++ })
@@ -303,14 +303,14 @@
 	if err != nil {
 		return
 	}
-	key := carawaycart.IdempotencyKey(r.Header.Get(caller.KeyHeader))
+	key := carawaycart.IdempotencyKey(r.Header.Get(caller.IdempotencyKeyHeader))
 	if r.Method == http.MethodPost && key != "" {
 		h.ledger.recordRun(key)
 	}
 	if !simulateWork(r.Context()) {
 		return // the request was cancelled after it was recorded as run
 	}
-	answer := RequestAnswer{Key: key, Host: h.config.ID, Size: len(body)}
+	answer := RequestAnswer{Key: key, Endpoint: h.config.ID, Size: len(body)}
 	data, err := json.Marshal(answer)
 	if err != nil {
 		return
@@ -323,7 +323,7 @@
 // withinTimeout reports whether the caller's timeout leaves enough time to run the
 // request. A request without a timeout passes; one whose timeout is not a number
 // does not.
-func (h *Host) withinTimeout(r *http.Request) bool {
+func (h *EmulatedEndpoint) withinTimeout(r *http.Request) bool {
 	text := r.Header.Get(caller.TimeoutHeader)
 	if text == "" {
 		return true
@@ -346,7 +346,7 @@
 
 // acquireSlot reserves a request slot. It returns false and counts a shed request
 // if no slot is free.
-func (h *Host) acquireSlot(now time.Time) bool {
+func (h *EmulatedEndpoint) acquireSlot(now time.Time) bool {
 	if h.ledger.pastCutoff(string(h.config.ID), now) {
 		h.ledger.Update(func(t *Totals) { t.WorkAfterLeave++ })
 	}
@@ -355,7 +355,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	limit := h.config.Slots
+	limit := h.config.RequestSlots
 	if h.cold(now) {
 		limit = min(limit, h.config.ColdRequests)
 	}
@@ -373,7 +373,7 @@
 	return true
 }
 
-func (h *Host) releaseSlot() {
+func (h *EmulatedEndpoint) releaseSlot() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.activeRequests--
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -20,13 +20,13 @@
 type Totals struct {
 	FlowsOpened           int `json:"flowsOpened"`
 	FlowsBroken           int `json:"flowsBroken"`           // reset, not acknowledged, or acknowledged by another endpoint
-	FlowsGivenUpByZoneOut int `json:"flowsGivenUpByZoneOut"` // broken while the zone of the endpoint was out of service
+	FlowsEndedByZoneOut   int `json:"flowsGivenUpByZoneOut"` // broken while the zone of the endpoint was out of service
 	FlowsNotOpened        int `json:"flowsNotOpened"`
-	OrdersSent            int `json:"ordersSent"`
-	OrdersConfirmed       int `json:"ordersConfirmed"`
-	OrdersRefusedNotRun   int `json:"ordersRefusedNotRun"` // not confirmed, without an attempt of unknown outcome
-	OrdersUnknown         int `json:"ordersUnknown"`       // not confirmed, with an attempt of unknown outcome
-	OrdersRunTwice        int `json:"ordersRunTwice"`      // run more than once
+	KeyedSent             int `json:"ordersSent"`
+	KeyedAnswered         int `json:"ordersConfirmed"`
+	KeyedNotRun           int `json:"ordersRefusedNotRun"` // not confirmed, without an attempt of unknown outcome
+	KeyedUnknown          int `json:"ordersUnknown"`       // not confirmed, with an attempt of unknown outcome
+	KeyedRunTwice         int `json:"ordersRunTwice"`      // run more than once
 	FalseRefusals         int `json:"falseRefusals"`       // counted in OrdersRefusedNotRun, but run
 	AnswersCrossed        int `json:"answersCrossed"`      // answers to another order
 	AnswersTruncated      int `json:"answersTruncated"`
@@ -63,7 +63,7 @@
 	defer l.mu.Unlock()
 	l.runCounts[k]++
 	if l.runCounts[k] == 2 {
-		l.totals.OrdersRunTwice++
+		l.totals.KeyedRunTwice++
 	}
 }
 
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -11,9 +11,9 @@
 	"carawaycart"
 )
 
-// List emulates the platform's instance list. Changes become visible after a
+// InstanceList emulates the platform's instance list. Changes become visible after a
 // fixed delay.
-type List struct {
+type InstanceList struct {
 	mu      sync.Mutex
 	delay   time.Duration
 	changes []listChange
@@ -29,14 +29,14 @@
 	visibleAt time.Time
 }
 
-// NewList starts a list that listens on address, a host:port whose port may be 0,
+// NewInstanceList starts a list that listens on address, a host:port whose port may be 0,
 // and publishes each change after delay.
-func NewList(address string, delay time.Duration) (*List, error) {
+func NewInstanceList(address string, delay time.Duration) (*InstanceList, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Annotate(err, "listen for instance list")
 	}
-	l := &List{delay: delay, url: "http://" + listener.Addr().String()}
+	l := &InstanceList{delay: delay, url: "http://" + listener.Addr().String()}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/instances", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, l.listed()) })
 	l.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
@@ -45,27 +45,27 @@
 }
 
 // URL returns the base URL of the list.
-func (l *List) URL() string { return l.url }
+func (l *InstanceList) URL() string { return l.url }
 
 // Close stops the HTTP server of the list.
-func (l *List) Close() { _ = l.server.Close() }
+func (l *InstanceList) Close() { _ = l.server.Close() }
 
 // Add adds an instance to the list.
-func (l *List) Add(i carawaycart.ListedInstance) { l.change(i, false) }
+func (l *InstanceList) Add(i carawaycart.ListedInstance) { l.change(i, false) }
 
 // Remove removes an instance from the list.
-func (l *List) Remove(id carawaycart.InstanceID) {
+func (l *InstanceList) Remove(id carawaycart.InstanceID) {
 	l.change(carawaycart.ListedInstance{ID: id}, true)
 }
 
-func (l *List) change(i carawaycart.ListedInstance, removed bool) {
+func (l *InstanceList) change(i carawaycart.ListedInstance, removed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changes = append(l.changes, listChange{instance: i, removed: removed, visibleAt: time.Now().Add(l.delay)})
 }
 
 // listed returns the instances that are visible now.
-func (l *List) listed() []carawaycart.ListedInstance {
+func (l *InstanceList) listed() []carawaycart.ListedInstance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
--- a/internal/standin/requestcaller.go
+++ b/internal/standin/requestcaller.go
@@ -108,12 +108,12 @@
 // maxRequestAttempts is reached, and counts the outcome in the ledger. An unanswered
 // request has an unknown outcome if that of any attempt was unknown.
 func (c *RequestCaller) Send(ctx context.Context, k carawaycart.IdempotencyKey) {
-	c.ledger.Update(func(t *Totals) { t.OrdersSent++ })
+	c.ledger.Update(func(t *Totals) { t.KeyedSent++ })
 	unknown := false
 	for range maxRequestAttempts {
 		switch c.attempt(ctx, k) {
 		case carawaycart.OutcomeAnswered:
-			c.ledger.Update(func(t *Totals) { t.OrdersConfirmed++ })
+			c.ledger.Update(func(t *Totals) { t.KeyedAnswered++ })
 			return
 		case carawaycart.OutcomeUnknown:
 			unknown = true
@@ -124,12 +124,12 @@
 	c.ledger.Update(func(t *Totals) {
 		switch {
 		case unknown:
-			t.OrdersUnknown++
+			t.KeyedUnknown++
 		case ran:
 			t.FalseRefusals++
-			t.OrdersRefusedNotRun++
+			t.KeyedNotRun++
 		default:
-			t.OrdersRefusedNotRun++
+			t.KeyedNotRun++
 		}
 	})
 }
@@ -149,7 +149,7 @@
 		return carawaycart.OutcomeNotRun
 	}
 	request.Host = string(c.service)
-	request.Header.Set(caller.KeyHeader, string(k))
+	request.Header.Set(caller.IdempotencyKeyHeader, string(k))
 	response, err := c.client.Do(request)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return carawaycart.OutcomeNotRun
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -23,8 +23,8 @@
 	ID            carawaycart.ServiceID
 	Address       netip.AddrPort
 	EndpointCount int
-	Flows         int // maximum number of established flows of each endpoint
-	Slots         int // maximum number of concurrent requests of each endpoint
+	MaxFlows      int // maximum number of established flows of each endpoint
+	RequestSlots  int // maximum number of concurrent requests of each endpoint
 }
 
 // Sites returns the installations of both customers.
@@ -32,13 +32,13 @@
 	return []Site{
 		{
 			Name: "froepapir", Zones: []carawaycart.ZoneID{"bergen-a", "bergen-b", "voss", "stord"}, Instances: 16,
-			Main:   SiteService{ID: "pressdesk", Address: netip.MustParseAddrPort("192.0.2.1:443"), EndpointCount: 14, Flows: 4200, Slots: 2},
-			Intake: SiteService{ID: "artintake", Address: netip.MustParseAddrPort("192.0.2.2:443"), EndpointCount: 4, Flows: 4200, Slots: 2},
+			Main:   SiteService{ID: "pressdesk", Address: netip.MustParseAddrPort("192.0.2.1:443"), EndpointCount: 14, MaxFlows: 4200, RequestSlots: 2},
+			Intake: SiteService{ID: "artintake", Address: netip.MustParseAddrPort("192.0.2.2:443"), EndpointCount: 4, MaxFlows: 4200, RequestSlots: 2},
 		},
 		{
 			Name: "brunnhalder", Zones: []carawaycart.ZoneID{"ch-ost-a", "ch-ost-b", "ch-ost-c", "ch-ost-d"}, Instances: 16,
-			Main:   SiteService{ID: "werkstatt-board", Address: netip.MustParseAddrPort("192.0.2.1:443"), EndpointCount: 14, Flows: 4000, Slots: 2},
-			Intake: SiteService{ID: "hof-inspektion", Address: netip.MustParseAddrPort("192.0.2.2:443"), EndpointCount: 4, Flows: 4000, Slots: 2},
+			Main:   SiteService{ID: "werkstatt-board", Address: netip.MustParseAddrPort("192.0.2.1:443"), EndpointCount: 14, MaxFlows: 4000, RequestSlots: 2},
+			Intake: SiteService{ID: "hof-inspektion", Address: netip.MustParseAddrPort("192.0.2.2:443"), EndpointCount: 4, MaxFlows: 4000, RequestSlots: 2},
 		},
 	}
 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -217,7 +217,7 @@
 	if !s.admit(w, s.writeLimiter) {
 		return
 	}
-	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, platform.MaxValue))
+	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, platform.MaxValueBytes))
 	if err != nil {
 		http.Error(w, "value too large", http.StatusRequestEntityTooLarge)
 		return
--- a/io/caller/query.go
+++ b/io/caller/query.go
@@ -13,9 +13,9 @@
 
 // Headers of requests.
 const (
-	KeyHeader     = "Idempotency-Key"
-	TimeoutHeader = "Request-Timeout-Ms" // how long the caller waits for the answer, in milliseconds
-	RequestHeader = "Request-Id"         // forwarded to the endpoint, or generated if the caller set none
+	IdempotencyKeyHeader = "Idempotency-Key"
+	TimeoutHeader        = "Request-Timeout-Ms" // how long the caller waits for the answer, in milliseconds
+	RequestIDHeader      = "Request-Id"         // forwarded to the endpoint, or generated if the caller set none
 )
 
 const (
@@ -26,18 +26,18 @@
 	idleTimeout       = time.Minute // of a connection between requests
 )
 
-// Query holds the parameters of a request that the balancer acts on.
-type Query struct {
+// RequestParams holds the parameters of a request that the balancer acts on.
+type RequestParams struct {
 	Service    carawaycart.ServiceID      // host name of the request, in lower case
 	Key        carawaycart.IdempotencyKey // empty if the caller set none
 	Idempotent bool                       // whether the HTTP method is idempotent (RFC 9110, section 9.2.2)
 	Deadline   time.Time                  // zero if the caller set none
 }
 
-// ReadQuery parses the parameters of r, which arrived at now. It returns a NotValid
+// ParseRequest parses the parameters of r, which arrived at now. It returns a NotValid
 // error for an unsupported HTTP method, a malformed key and a malformed timeout.
-func ReadQuery(r *http.Request, now time.Time) (Query, error) {
-	q := Query{Service: carawaycart.ServiceID(strings.ToLower(hostName(r.Host)))}
+func ParseRequest(r *http.Request, now time.Time) (RequestParams, error) {
+	q := RequestParams{Service: carawaycart.ServiceID(strings.ToLower(hostName(r.Host)))}
 	switch r.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
 		q.Idempotent = true
@@ -45,12 +45,12 @@
 	default:
 		return q, errors.NotValidf("method %q", r.Method)
 	}
-	key, err := singleHeader(r, KeyHeader)
+	key, err := singleHeader(r, IdempotencyKeyHeader)
 	if err != nil {
 		return q, err
 	}
 	if len(key) > maxKeyBytes || !isPrintableASCII(key) {
-		return q, errors.NotValidf("%s of %d bytes (want at most %d printable ASCII)", KeyHeader, len(key), maxKeyBytes)
+		return q, errors.NotValidf("%s of %d bytes (want at most %d printable ASCII)", IdempotencyKeyHeader, len(key), maxKeyBytes)
 	}
 	q.Key = carawaycart.IdempotencyKey(key)
 	timeout, err := singleHeader(r, TimeoutHeader)
--- a/io/caller/query_test.go
+++ b/io/caller/query_test.go
@@ -39,7 +39,7 @@
 		for k, v := range test.header {
 			r.Header[k] = v
 		}
-		q, err := caller.ReadQuery(r, arrival)
+		q, err := caller.ParseRequest(r, arrival)
 		if test.valid && (err != nil || q.Service != "desk") {
 			t.Errorf("%s: got %+v, %v; want service desk", test.name, q, err)
 		}
@@ -53,7 +53,7 @@
 func TestReadQueryDeadline(t *testing.T) {
 	r := httptest.NewRequest("GET", "http://desk/", nil)
 	r.Header.Set(caller.TimeoutHeader, "250")
-	q, err := caller.ReadQuery(r, arrival)
+	q, err := caller.ParseRequest(r, arrival)
 	if want := arrival.Add(250 * time.Millisecond); err != nil || !q.Deadline.Equal(want) {
 		t.Errorf("got deadline %v, error %v; want deadline %v", q.Deadline, err, want)
 	}
@@ -80,9 +80,9 @@
 	f.Fuzz(func(t *testing.T, method, host, key, timeout string) {
 		r := httptest.NewRequest("POST", "http://desk/", nil)
 		r.Method, r.Host = method, host
-		r.Header[caller.KeyHeader] = []string{key}
+		r.Header[caller.IdempotencyKeyHeader] = []string{key}
 		r.Header[caller.TimeoutHeader] = []string{timeout}
-		q, err := caller.ReadQuery(r, arrival)
+		q, err := caller.ParseRequest(r, arrival)
 		if err == nil && (!q.Deadline.After(arrival) || q.Key == "") {
 			t.Errorf("accepted method %q, key %q, timeout %q with deadline %v", method, key, timeout, q.Deadline)
 		}
--- a/io/endpoint/client.go
+++ b/io/endpoint/client.go
@@ -48,8 +48,8 @@
 
 // Report fetches the load report of the endpoint at address. The error is NotValid
 // if the report cannot be decoded or has a negative count.
-func (c *Client) Report(ctx context.Context, address netip.AddrPort) (carawaycart.Report, error) {
-	var report carawaycart.Report
+func (c *Client) Report(ctx context.Context, address netip.AddrPort) (carawaycart.LoadReport, error) {
+	var report carawaycart.LoadReport
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/load", nil)
 	if err != nil {
 		return report, errors.Annotatef(err, "create load report request for endpoint %s", address)
@@ -75,14 +75,14 @@
 	return report, nil
 }
 
-// Refused reports whether err, an error of Report or Do, means that the endpoint
+// IsConnectionRefused reports whether err, an error of Report or Do, means that the endpoint
 // refused the connection, so that no byte of the request can have reached it.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Unreached reports whether err, an error of Report or Do, occurred while dialing,
+// IsDialError reports whether err, an error of Report or Do, occurred while dialing,
 // so that no byte of the request can have reached the endpoint. Such errors include
 // those for which Refused returns true.
-func Unreached(err error) bool {
+func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/io/fabric/bench_test.go
+++ b/io/fabric/bench_test.go
@@ -25,8 +25,8 @@
 // staticHandler is a Handler that forwards every packet to one address.
 type staticHandler struct{ address netip.AddrPort }
 
-func (s staticHandler) Handle(*carawaycart.Packet) (netip.AddrPort, bool) { return s.address, true }
-func (s staticHandler) Fault(fabric.Fault)                                {}
+func (s staticHandler) Route(*carawaycart.Packet) (netip.AddrPort, bool) { return s.address, true }
+func (s staticHandler) CountFault(fabric.Fault)                          {}
 
 func listen(b *testing.B) *net.UDPConn {
 	b.Helper()
--- a/io/fabric/port.go
+++ b/io/fabric/port.go
@@ -20,11 +20,11 @@
 // Handler selects the destinations of packets. Its methods must be safe for
 // concurrent use.
 type Handler interface {
-	// Handle returns the address to which to forward the datagram that holds p, or
+	// Route returns the address to which to forward the datagram that holds p, or
 	// false to drop it. It counts the cause of a drop.
-	Handle(p *carawaycart.Packet) (netip.AddrPort, bool)
-	// Fault counts a datagram that could not be decoded.
-	Fault(f Fault)
+	Route(p *carawaycart.Packet) (netip.AddrPort, bool)
+	// CountFault counts a datagram that could not be decoded.
+	CountFault(f Fault)
 }
 
 // Translator selects the destination of each received datagram and may rewrite the
@@ -34,9 +34,9 @@
 	// Headroom returns the number of bytes reserved before each datagram, which
 	// Translate may overwrite.
 	Headroom() int
-	// MaxDatagram returns the size of the receive buffer for a datagram, in bytes.
+	// ReceiveBufferBytes returns the size of the receive buffer for a datagram, in bytes.
 	// A longer datagram is truncated to it.
-	MaxDatagram() int
+	ReceiveBufferBytes() int
 	// Translate returns the datagram to send and its destination, or false to send
 	// nothing. The received datagram begins in b after the headroom. The result may
 	// alias b.
@@ -87,22 +87,22 @@
 // Headroom returns zero.
 func (*geneveForwarder) Headroom() int { return 0 }
 
-// MaxDatagram returns the size of a jumbo frame.
-func (*geneveForwarder) MaxDatagram() int { return maxDatagramBytes }
+// ReceiveBufferBytes returns the size of a jumbo frame.
+func (*geneveForwarder) ReceiveBufferBytes() int { return maxDatagramBytes }
 
 // Translate returns b unchanged with the destination that the handler selects.
 func (f *geneveForwarder) Translate(b []byte) ([]byte, netip.AddrPort, bool) {
 	if len(b) >= maxDatagramBytes { // possibly truncated
-		f.handler.Fault(FaultIP)
+		f.handler.CountFault(FaultIP)
 		return nil, netip.AddrPort{}, false
 	}
 	var p carawaycart.Packet
 	if fault := f.decoder.Decode(b, &p); fault != FaultNone {
-		f.handler.Fault(fault)
+		f.handler.CountFault(fault)
 		return nil, netip.AddrPort{}, false
 	}
 	p.Relayed = f.relayed
-	address, ok := f.handler.Handle(&p)
+	address, ok := f.handler.Route(&p)
 	return b, address, ok
 }
 
@@ -129,7 +129,7 @@
 		addresses:  make(map[netip.AddrPort]*net.UDPAddr),
 	}
 	for i := range f.received {
-		f.buffers[i] = make([]byte, f.headroom+t.MaxDatagram())
+		f.buffers[i] = make([]byte, f.headroom+t.ReceiveBufferBytes())
 		f.received[i].Buffers = [][]byte{f.buffers[i][f.headroom:]}
 	}
 	return f
--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -37,7 +37,7 @@
 		if !isConnectionFailure(err) {
 			break
 		}
-		c.Drop(address)
+		c.Disconnect(address)
 	}
 	return errors.Annotatef(err, "call %s of peer %s", method, address)
 }
@@ -100,8 +100,8 @@
 	return client, nil
 }
 
-// Drop closes the connection to address, if there is one.
-func (c *Client) Drop(address netip.AddrPort) {
+// Disconnect closes the connection to address, if there is one.
+func (c *Client) Disconnect(address netip.AddrPort) {
 	c.mu.Lock()
 	conn := c.conns[address]
 	delete(c.conns, address)
@@ -122,7 +122,7 @@
 	}
 	c.mu.Unlock()
 	for _, a := range closing {
-		c.Drop(a)
+		c.Disconnect(a)
 	}
 }
 
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -23,9 +23,9 @@
 
 // Meter counts the bytes that calls and replies send.
 type Meter interface {
-	// Sent adds bytes to the count of method, which has the form "Peer.Exchange". A
+	// CountSent adds bytes to the count of method, which has the form "Peer.Exchange". A
 	// reply counts under the method that it answers.
-	Sent(method string, bytes int)
+	CountSent(method string, bytes int)
 }
 
 // codec sends and receives calls and replies on one connection, each as a header
@@ -66,7 +66,7 @@
 	if err != nil {
 		return errors.Annotatef(err, "write body of %s", h.GetMethod())
 	}
-	c.meter.Sent(h.GetMethod(), headerBytes+bodyBytes)
+	c.meter.CountSent(h.GetMethod(), headerBytes+bodyBytes)
 	return errors.Annotatef(c.writer.Flush(), "send %s", h.GetMethod())
 }
 
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -30,7 +30,7 @@
 
 type discardMeter struct{}
 
-func (discardMeter) Sent(string, int) {}
+func (discardMeter) CountSent(string, int) {}
 
 func serve(t *testing.T, h peer.Handler) netip.AddrPort {
 	t.Helper()
--- a/io/platform/changelog.go
+++ b/io/platform/changelog.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	next, _ := c.Next(change)
+	next, _ := c.ApplyOrSkip(change)
 	return next, nil
 }
 
@@ -159,9 +159,9 @@
 	return l.AppendAfter(ctx, c, edit)
 }
 
-// Check returns the change that Append would append for edit to the latest
+// DryRun returns the change that Append would append for edit to the latest
 // configuration, or the error that it would return, without writing anything.
-func (l *ChangeLog) Check(ctx context.Context, edit Edit) (carawaycart.Change, error) {
+func (l *ChangeLog) DryRun(ctx context.Context, edit Edit) (carawaycart.Change, error) {
 	c, err := l.Latest(ctx)
 	if err != nil {
 		return carawaycart.Change{}, err
@@ -199,14 +199,14 @@
 		if existing.Kind == change.Kind && existing.Name == change.Name {
 			return carawaycart.Change{}, &ConflictError{Winner: existing}
 		}
-		c, _ = c.Next(existing)
+		c, _ = c.ApplyOrSkip(existing)
 	}
 	return carawaycart.Change{}, errors.Errorf("append change: the next revision was taken by another change in each of %d attempts", maxAppendAttempts)
 }
 
 // change returns the change that edit makes to c. Its revision is not set.
 func (l *ChangeLog) change(c *config.Configuration, edit Edit) (carawaycart.Change, error) {
-	before, err := c.Current(edit.Kind, edit.Name)
+	before, err := c.EncodedObject(edit.Kind, edit.Name)
 	if err != nil {
 		return carawaycart.Change{}, err
 	}
--- a/io/platform/store.go
+++ b/io/platform/store.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// MaxValue is the maximum size of a value in the store, in bytes.
-	MaxValue = 1 << 20
+	// MaxValueBytes is the maximum size of a value in the store, in bytes.
+	MaxValueBytes = 1 << 20
 
 	maxResponseBytes = 64 << 20
 	blockTimeout     = 30 * time.Second // time for which the store may block a read
@@ -79,8 +79,8 @@
 // NotValid if value is longer than MaxValue; after any other error, the value may
 // have been written.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, value []byte, index carawaycart.StoreIndex) (bool, error) {
-	if len(value) > MaxValue {
-		return false, errors.NotValidf("value of %d bytes at key %s (limit %d)", len(value), key, MaxValue)
+	if len(value) > MaxValueBytes {
+		return false, errors.NotValidf("value of %d bytes at key %s (limit %d)", len(value), key, MaxValueBytes)
 	}
 	var swapped bool
 	query := url.Values{"cas": {strconv.FormatUint(uint64(index), 10)}}
@@ -122,18 +122,20 @@
 	return errors.New(fmt.Sprintf("HTTP status %d", response.StatusCode))
 }
 
-// List is a client of the platform's list of instances. It implements
+// InstanceList is a client of the platform's list of instances. It implements
 // carawaycart.InstanceList and is safe for concurrent use.
-type List struct {
+type InstanceList struct {
 	baseURL string // URL without a path
 	client  *http.Client
 }
 
-// NewList returns a client of the list of instances at baseURL, a URL without a path.
-func NewList(baseURL string) *List { return &List{baseURL: baseURL, client: newClient()} }
+// NewInstanceList returns a client of the list of instances at baseURL, a URL without a path.
+func NewInstanceList(baseURL string) *InstanceList {
+	return &InstanceList{baseURL: baseURL, client: newClient()}
+}
 
 // Instances returns the balancer instances in the list, which may lag behind.
-func (l *List) Instances(ctx context.Context) ([]carawaycart.ListedInstance, error) {
+func (l *InstanceList) Instances(ctx context.Context) ([]carawaycart.ListedInstance, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, l.baseURL+"/v1/instances", nil)
 	if err != nil {
 		return nil, errors.Annotatef(err, "create request for instance list %s", l.baseURL)
--- a/lifetime.go
+++ b/lifetime.go
@@ -9,34 +9,34 @@
 // the flow; zero means none.
 type Token uint32
 
-// HostNumber distinguishes an endpoint from others that have used its address. It is
+// EndpointNumber distinguishes an endpoint from others that have used its address. It is
 // the hexadecimal number in the endpoint's ID, which is not zero.
-type HostNumber uint64
+type EndpointNumber uint64
 
 // UnixMillis is a time in milliseconds since the Unix epoch.
 type UnixMillis int64
 
 // Lifetime is one run of an endpoint, from its start to its end.
 type Lifetime struct {
-	ID       EndpointID
-	Born     UnixMillis // start time; zero if the endpoint did not report it
-	Number   HostNumber
-	Service  ServiceID
-	Zone     ZoneID
-	Address  netip.AddrPort
-	Slots    int           // maximum number of concurrent requests
-	Draining bool          // accepts no new flows
-	ColdLeft time.Duration // remaining cold time when the store entry was written
+	ID            EndpointID
+	StartedAt     UnixMillis // start time; zero if the endpoint did not report it
+	Number        EndpointNumber
+	Service       ServiceID
+	Zone          ZoneID
+	Address       netip.AddrPort
+	RequestSlots  int           // maximum number of concurrent requests
+	Draining      bool          // accepts no new flows
+	ColdRemaining time.Duration // remaining cold time when the store entry was written
 }
 
 // LifetimeKey identifies a Lifetime.
 type LifetimeKey struct {
-	ID   EndpointID
-	Born UnixMillis
+	ID        EndpointID
+	StartedAt UnixMillis
 }
 
 // Key returns the identity of l.
-func (l *Lifetime) Key() LifetimeKey { return LifetimeKey{ID: l.ID, Born: l.Born} }
+func (l *Lifetime) Key() LifetimeKey { return LifetimeKey{ID: l.ID, StartedAt: l.StartedAt} }
 
 // RequestKind tells whether a request may be sent again.
 type RequestKind string
@@ -56,28 +56,28 @@
 
 // Route distributes the new flows to an address over services.
 type Route struct {
-	Name     string
-	Address  netip.AddrPort
-	Targets  []RouteTarget
-	Kind     RequestKind
-	Priority int           // 0 is the highest
-	Target   time.Duration // latency within which a request should be answered
+	Name          string
+	Address       netip.AddrPort
+	Targets       []RouteTarget
+	Kind          RequestKind
+	Priority      int           // 0 is the highest
+	TargetLatency time.Duration // latency within which a request should be answered
 }
 
 // ServicePolicy holds the settings of a service in the routing configuration.
 type ServicePolicy struct {
-	ID            ServiceID
-	HealthPath    string  // HTTP path of the health check of its endpoints
-	Flows         int     // maximum number of concurrent flows per endpoint
-	ColdPerSecond float64 // requests per second that a cold endpoint can serve
+	ID              ServiceID
+	HealthPath      string  // HTTP path of the health check of its endpoints
+	MaxFlows        int     // maximum number of concurrent flows per endpoint
+	ColdRequestRate float64 // requests per second that a cold endpoint can serve
 }
 
 // RouteConfig is one version of the routing configuration.
 type RouteConfig struct {
-	Version   uint64
-	Routes    []Route
-	Services  []ServicePolicy
-	IdleLimit time.Duration // idle time after which a flow may be discarded
+	Version     uint64
+	Routes      []Route
+	Services    []ServicePolicy
+	IdleTimeout time.Duration // idle time after which a flow may be discarded
 }
 
 // Registration is the store entry by which other instances discover an instance.
@@ -97,9 +97,9 @@
 	Revision StoreRevision
 }
 
-// Record is a decoded StoreItem. At most one field is set; none is set if the key is
+// DecodedItem is a decoded StoreItem. At most one field is set; none is set if the key is
 // of an unknown kind or the item is malformed.
-type Record struct {
+type DecodedItem struct {
 	Config   *RouteConfig
 	Lifetime *Lifetime
 	ZoneOut  ZoneID // zone that operators have taken out of service
--- a/message/convert.go
+++ b/message/convert.go
@@ -47,7 +47,7 @@
 	}
 	return carawaycart.EndpointStatus{
 		Endpoint: carawaycart.EndpointID(s.GetEndpoint()), Keeper: carawaycart.InstanceID(s.GetKeeper()),
-		Version: carawaycart.Version(s.GetVersion()), State: carawaycart.EndpointState(s.GetState()), Guarded: s.GetGuarded(),
+		Version: carawaycart.StatusVersion(s.GetVersion()), State: carawaycart.EndpointState(s.GetState()), Guarded: s.GetGuarded(),
 	}, nil
 }
 
@@ -66,7 +66,7 @@
 		g.Endpoint = append(g.Endpoint, internEndpoint(g, string(r.Endpoint)))
 		g.Fingerprints = append(g.Fingerprints, uint64(r.Fingerprint))
 		g.Revision = append(g.Revision, uint64(r.Revision))
-		g.OpenedUnix = append(g.OpenedUnix, r.OpenedUnix)
+		g.OpenedUnix = append(g.OpenedUnix, r.OpenedUnixNano)
 	}
 	for _, f := range ended {
 		b.Ended = append(b.Ended, uint64(f))
@@ -104,7 +104,7 @@
 			records = append(records, carawaycart.FlowRecord{
 				Service: carawaycart.ServiceID(g.GetService()), Fingerprint: carawaycart.Fingerprint(f),
 				Endpoint: carawaycart.EndpointID(g.GetEndpoints()[e]),
-				Revision: carawaycart.Revision(g.GetRevision()[i]), OpenedUnix: g.GetOpenedUnix()[i],
+				Revision: carawaycart.Revision(g.GetRevision()[i]), OpenedUnixNano: g.GetOpenedUnix()[i],
 			})
 		}
 	}
@@ -119,7 +119,7 @@
 func FromClaim(c carawaycart.Claim) *Claim {
 	return &Claim{
 		Key: string(c.Key), Service: string(c.Service), Digest: uint64(c.Digest), Attempt: string(c.Attempt),
-		Entry: string(c.Entry), State: uint32(c.State), Status: int32(c.Answer.Status),
+		Entry: string(c.EntryInstance), State: uint32(c.State), Status: int32(c.Answer.Status),
 		ContentType: c.Answer.ContentType, Body: c.Answer.Body, DeadlineUnix: c.Deadline.UnixNano(),
 	}
 }
@@ -133,7 +133,7 @@
 	return carawaycart.Claim{
 		Key: carawaycart.IdempotencyKey(c.GetKey()), Service: carawaycart.ServiceID(c.GetService()),
 		Digest: carawaycart.RequestDigest(c.GetDigest()), Attempt: carawaycart.AttemptID(c.GetAttempt()),
-		Entry: carawaycart.InstanceID(c.GetEntry()), State: carawaycart.ClaimState(c.GetState()),
+		EntryInstance: carawaycart.InstanceID(c.GetEntry()), State: carawaycart.ClaimState(c.GetState()),
 		Answer:   carawaycart.Answer{Status: int(c.GetStatus()), ContentType: c.GetContentType(), Body: c.GetBody()},
 		Deadline: time.Unix(0, c.GetDeadlineUnix()),
 	}, nil
--- a/message/convert_test.go
+++ b/message/convert_test.go
@@ -14,9 +14,9 @@
 // them by service and replaces endpoints by indices.
 func TestRecordsRoundTrip(t *testing.T) {
 	want := []carawaycart.FlowRecord{
-		{Service: "desk", Fingerprint: 1, Endpoint: "e1", Revision: 3, OpenedUnix: 7},
-		{Service: "desk", Fingerprint: 2, Endpoint: "e2", Revision: 4, OpenedUnix: 8},
-		{Service: "intake", Fingerprint: 3, Endpoint: "e1", Revision: 4, OpenedUnix: 9},
+		{Service: "desk", Fingerprint: 1, Endpoint: "e1", Revision: 3, OpenedUnixNano: 7},
+		{Service: "desk", Fingerprint: 2, Endpoint: "e2", Revision: 4, OpenedUnixNano: 8},
+		{Service: "intake", Fingerprint: 3, Endpoint: "e1", Revision: 4, OpenedUnixNano: 9},
 	}
 	got, ended, err := message.ToRecords(message.FromRecords(want, []carawaycart.Fingerprint{9}))
 	if err != nil || len(ended) != 1 || ended[0] != 9 || len(got) != len(want) {
@@ -36,7 +36,7 @@
 	var records []carawaycart.FlowRecord
 	for i := range 1000 {
 		records = append(records, carawaycart.FlowRecord{
-			Service: "desk", Fingerprint: carawaycart.Fingerprint(i * 7919), Endpoint: "e1", Revision: 300, OpenedUnix: 1 << 60,
+			Service: "desk", Fingerprint: carawaycart.Fingerprint(i * 7919), Endpoint: "e1", Revision: 300, OpenedUnixNano: 1 << 60,
 		})
 	}
 	if got := proto.Size(message.FromRecords(records, nil)) / len(records); got > limit {
--- a/message/directory.go
+++ b/message/directory.go
@@ -35,20 +35,20 @@
 	return items
 }
 
-// ToDifference returns the delta in n. It is empty if n is partial.
-func ToDifference(n *DirectoryNews) directory.Difference {
-	return directory.Difference{
+// ToDelta returns the delta in n. It is empty if n is partial.
+func ToDelta(n *DirectoryNews) directory.Delta {
+	return directory.Delta{
 		From: carawaycart.StoreRevision(n.GetFromRevision()), To: carawaycart.StoreRevision(n.GetToRevision()),
-		Items: ToItems(n.GetItems()), Missing: n.GetMissing(),
+		Items: ToItems(n.GetItems()), RemovedKeys: n.GetMissing(),
 	}
 }
 
-// FromCopy returns the message for the snapshot c, where age is the time since the
+// FromSnapshot returns the message for the snapshot c, where age is the time since the
 // store was read.
-func FromCopy(c directory.Copy, age time.Duration) (*DirectoryCopy, error) {
+func FromSnapshot(c directory.Snapshot, age time.Duration) (*DirectoryCopy, error) {
 	body := &DirectoryBody{Items: FromItems(c.Items), Keys: c.Keys}
 	for _, k := range c.Ended {
-		body.Ended = append(body.Ended, &EndedLifetime{Id: string(k.ID), BornMs: int64(k.Born)})
+		body.Ended = append(body.Ended, &EndedLifetime{Id: string(k.ID), BornMs: int64(k.StartedAt)})
 	}
 	data, err := proto.Marshal(body)
 	if err != nil {
@@ -65,24 +65,24 @@
 	if err != nil {
 		return nil, errors.Annotate(err, "compress copy of directory")
 	}
-	return &DirectoryCopy{AtRevision: uint64(c.At), AgeMs: uint32(age.Milliseconds()), CompressedBody: b.Bytes()}, nil
+	return &DirectoryCopy{AtRevision: uint64(c.Revision), AgeMs: uint32(age.Milliseconds()), CompressedBody: b.Bytes()}, nil
 }
 
-// ToCopy returns the snapshot in m. The error is NotValid if the body cannot be
+// ToSnapshot returns the snapshot in m. The error is NotValid if the body cannot be
 // decompressed or decoded.
-func ToCopy(m *DirectoryCopy) (directory.Copy, error) {
+func ToSnapshot(m *DirectoryCopy) (directory.Snapshot, error) {
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(m.GetCompressedBody())), maxBodyBytes))
 	if err != nil {
-		return directory.Copy{}, errors.NewNotValid(err, "compressed directory snapshot")
+		return directory.Snapshot{}, errors.NewNotValid(err, "compressed directory snapshot")
 	}
 	body := &DirectoryBody{}
 	if err := proto.Unmarshal(data, body); err != nil {
-		return directory.Copy{}, errors.NewNotValid(err, "directory snapshot")
+		return directory.Snapshot{}, errors.NewNotValid(err, "directory snapshot")
 	}
-	c := directory.Copy{At: carawaycart.StoreRevision(m.GetAtRevision()), Items: ToItems(body.GetItems()), Keys: body.GetKeys()}
+	c := directory.Snapshot{Revision: carawaycart.StoreRevision(m.GetAtRevision()), Items: ToItems(body.GetItems()), Keys: body.GetKeys()}
 	for _, e := range body.GetEnded() {
 		c.Ended = append(c.Ended, carawaycart.LifetimeKey{
-			ID: carawaycart.EndpointID(e.GetId()), Born: carawaycart.UnixMillis(e.GetBornMs()),
+			ID: carawaycart.EndpointID(e.GetId()), StartedAt: carawaycart.UnixMillis(e.GetBornMs()),
 		})
 	}
 	return c, nil
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -105,7 +105,7 @@
 func newRun(t *testing.T, seed uint64) *run {
 	t.Helper()
 	r := &run{t: t, random: rand.New(rand.NewPCG(seed, 0)), binary: buildBinary(t)}
-	site, err := standin.NewSiteBehind(zoneCount, endpointsPerZone, func(listen, target netip.AddrPort) error {
+	site, err := standin.NewSiteWithProxies(zoneCount, endpointsPerZone, func(listen, target netip.AddrPort) error {
 		p, err := newProxy(listen, target)
 		r.endpointProxies = append(r.endpointProxies, p)
 		return err
@@ -120,7 +120,7 @@
 			r.addInstance(zone, n)
 		}
 	}
-	r.await("all instances are in rotation", func() bool { return site.Routers.Ready() == len(r.processes) })
+	r.await("all instances are in rotation", func() bool { return site.Routers.ReadyCount() == len(r.processes) })
 	return r
 }
 
@@ -131,12 +131,12 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	store := netip.MustParseAddrPort(strings.TrimPrefix(m.Store, "http://"))
-	p := &process{machine: m, settingsPath: filepath.Join(r.t.TempDir(), m.Name+".ini")}
+	store := netip.MustParseAddrPort(strings.TrimPrefix(m.StoreURL, "http://"))
+	p := &process{machine: m, settingsPath: filepath.Join(r.t.TempDir(), m.InstanceID+".ini")}
 	if p.store, err = newProxy(netip.AddrPortFrom(store.Addr(), store.Port()+1), store); err != nil {
 		r.t.Fatal(err)
 	}
-	m.Store = fmt.Sprintf("http://%s:%d", store.Addr(), store.Port()+1)
+	m.StoreURL = fmt.Sprintf("http://%s:%d", store.Addr(), store.Port()+1)
 	if err := os.WriteFile(p.settingsPath, []byte(r.Settings(m)), 0o600); err != nil {
 		r.t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 	p.command = exec.Command(r.binary, "balancer", "-config", p.settingsPath)
 	p.command.Stderr = &p.output
 	if err := p.command.Start(); err != nil {
-		r.Ledger.Break("start %s: %v", p.machine.Name, err)
+		r.Ledger.RecordViolation("start %s: %v", p.machine.InstanceID, err)
 		return
 	}
 	ended := make(chan struct{})
@@ -201,7 +201,7 @@
 	if r.t.Failed() {
 		r.t.Log(strings.Join(r.events, "\n"))
 		for _, p := range r.processes {
-			r.t.Logf("%s: %s", p.machine.Name, tail(p.output.String()))
+			r.t.Logf("%s: %s", p.machine.InstanceID, tail(p.output.String()))
 		}
 	}
 }
@@ -227,7 +227,7 @@
 // endpoint h, for about span, and returns when the fault is over.
 type fault struct {
 	name   string
-	inject func(r *run, p *process, h *standin.Host, span time.Duration)
+	inject func(r *run, p *process, h *standin.Endpoint, span time.Duration)
 }
 
 // allFaults lists the kinds of faults. A seed selects faults by index, so that a
@@ -235,62 +235,66 @@
 // standin.FaultStale, under which instances cannot keep all guarantees. A fault of a
 // path sets any mode of its proxy but modeForward.
 var allFaults = []fault{
-	{"kill", func(r *run, p *process, _ *standin.Host, span time.Duration) { r.restart(p, syscall.SIGKILL, span/4) }},
-	{"stop", func(r *run, p *process, _ *standin.Host, span time.Duration) { r.restart(p, syscall.SIGTERM, span/4) }},
-	{"freeze", func(r *run, p *process, _ *standin.Host, span time.Duration) {
+	{"kill", func(r *run, p *process, _ *standin.Endpoint, span time.Duration) {
+		r.restart(p, syscall.SIGKILL, span/4)
+	}},
+	{"stop", func(r *run, p *process, _ *standin.Endpoint, span time.Duration) {
+		r.restart(p, syscall.SIGTERM, span/4)
+	}},
+	{"freeze", func(r *run, p *process, _ *standin.Endpoint, span time.Duration) {
 		r.signal(p, syscall.SIGSTOP)
 		time.Sleep(span)
 		r.signal(p, syscall.SIGCONT)
 	}},
-	{"reload", func(r *run, p *process, _ *standin.Host, _ time.Duration) { r.signal(p, syscall.SIGHUP) }},
-	{"store", func(r *run, _ *process, _ *standin.Host, span time.Duration) {
-		r.Store.SetFault("", standin.Fault(1+r.randomInt(int(standin.FaultLost))))
+	{"reload", func(r *run, p *process, _ *standin.Endpoint, _ time.Duration) { r.signal(p, syscall.SIGHUP) }},
+	{"store", func(r *run, _ *process, _ *standin.Endpoint, span time.Duration) {
+		r.Store.SetFault("", standin.Fault(1+r.randomInt(int(standin.FaultAnswerLost))))
 		time.Sleep(span)
 		r.Store.SetFault("", standin.FaultNone)
 	}},
-	{"store for one instance", func(r *run, p *process, _ *standin.Host, span time.Duration) {
-		r.Store.SetFault(p.machine.Store, standin.Fault(1+r.randomInt(int(standin.FaultLost))))
+	{"store for one instance", func(r *run, p *process, _ *standin.Endpoint, span time.Duration) {
+		r.Store.SetFault(p.machine.StoreURL, standin.Fault(1+r.randomInt(int(standin.FaultAnswerLost))))
 		time.Sleep(span)
-		r.Store.SetFault(p.machine.Store, standin.FaultNone)
+		r.Store.SetFault(p.machine.StoreURL, standin.FaultNone)
 	}},
-	{"path to the store", func(r *run, p *process, _ *standin.Host, span time.Duration) {
+	{"path to the store", func(r *run, p *process, _ *standin.Endpoint, span time.Duration) {
 		p.store.setMode(mode(1 + r.randomInt(int(modeCount)-1)))
 		time.Sleep(span)
 		p.store.setMode(modeForward)
 	}},
-	{"path to an endpoint", func(r *run, _ *process, h *standin.Host, span time.Duration) {
-		for i := range r.Hosts {
-			if r.Hosts[i] == h {
+	{"path to an endpoint", func(r *run, _ *process, h *standin.Endpoint, span time.Duration) {
+		for i := range r.Endpoints {
+			if r.Endpoints[i] == h {
 				r.endpointProxies[i].setMode(mode(1 + r.randomInt(int(modeCount)-1)))
 				time.Sleep(span)
 				r.endpointProxies[i].setMode(modeForward)
 			}
 		}
 	}},
-	{"endpoint silent, flows lost", func(_ *run, _ *process, h *standin.Host, span time.Duration) {
-		h.Set(standin.Dark)
+	{"endpoint silent, flows lost", func(_ *run, _ *process, h *standin.Endpoint, span time.Duration) {
+		h.SetCondition(standin.Crashed)
 		time.Sleep(span)
-		h.Set(standin.Well)
+		h.SetCondition(standin.Healthy)
 	}},
-	{"endpoint silent, flows kept", func(_ *run, _ *process, h *standin.Host, span time.Duration) {
-		h.Set(standin.Cut)
+	{"endpoint silent, flows kept", func(_ *run, _ *process, h *standin.Endpoint, span time.Duration) {
+		h.SetCondition(standin.Partitioned)
 		time.Sleep(span)
-		h.Set(standin.Well)
+		h.SetCondition(standin.Healthy)
 	}},
-	{"endpoint drains", func(r *run, _ *process, h *standin.Host, span time.Duration) {
+	{"endpoint drains", func(r *run, _ *process, h *standin.Endpoint, span time.Duration) {
 		r.Drain(h)
-		time.Sleep(standin.DrainBound + span)
-		h.Forbid(time.Time{})
-		h.Set(standin.Well)
+		time.Sleep(standin.DrainTimeLimit + span)
+		h.ForbidNewFlows(time.Time{})
+		h.SetCondition(standin.Healthy)
 	}},
-	{"zone out", func(r *run, _ *process, h *standin.Host, span time.Duration) {
-		r.Evacuate(h.Zone, false)
-		time.Sleep(standin.EvacuateBound + span)
-		r.Evacuate(h.Zone, true)
+	{"zone out", func(r *run, _ *process, h *standin.Endpoint, span time.Duration) {
+		r.SetZoneInService(h.Zone, false)
+		time.Sleep(standin.EvacuationTimeLimit + span)
+		r.SetZoneInService(h.Zone, true)
 	}},
-	{"configuration", func(r *run, _ *process, _ *standin.Host, _ time.Duration) {
+	{"configuration", func(r *run, _ *process, _ *standin.Endpoint, _ time.Duration) {
 		if err := r.Configure(true); err != nil {
-			r.Ledger.Break("configure: %v", err)
+			r.Ledger.RecordViolation("configure: %v", err)
 		}
 	}},
 }
@@ -327,7 +331,7 @@
 	for range n {
 		f := allFaults[r.random.IntN(len(allFaults))]
 		p := r.processes[r.random.IntN(len(r.processes))]
-		h := r.Hosts[r.random.IntN(len(r.Hosts))]
+		h := r.Endpoints[r.random.IntN(len(r.Endpoints))]
 		span := time.Duration(200+r.random.IntN(3800)) * time.Millisecond
 		pause := time.Duration(r.random.IntN(1500)) * time.Millisecond
 		keys := []any{p, h}
@@ -338,7 +342,7 @@
 		if !reserve(keys...) {
 			continue
 		}
-		r.events = append(r.events, fmt.Sprintf("%s %s: %s %s for %v", time.Now().Format("15:04:05.000"), f.name, p.machine.Name, h.ID, span))
+		r.events = append(r.events, fmt.Sprintf("%s %s: %s %s for %v", time.Now().Format("15:04:05.000"), f.name, p.machine.InstanceID, h.ID, span))
 		active.Go(func() {
 			stop := make(chan struct{})
 			if !plannedFaults[f.name] {
@@ -359,10 +363,10 @@
 // suspendBoundsUntil suspends the time limits of guarantees until stop is closed.
 func (r *run) suspendBoundsUntil(stop <-chan struct{}) {
 	for {
-		r.Disturb()
+		r.RecordDisturbance()
 		select {
 		case <-stop:
-			r.Disturb()
+			r.RecordDisturbance()
 			return
 		case <-time.After(100 * time.Millisecond):
 		}
@@ -374,15 +378,15 @@
 // answered, and no guarantee was violated.
 func (r *run) checkRecovery() {
 	r.t.Helper()
-	r.await("all instances are back in rotation", func() bool { return r.Routers.Ready() == len(r.processes) })
-	r.await("time limits are in force again", r.Calm)
+	r.await("all instances are back in rotation", func() bool { return r.Routers.ReadyCount() == len(r.processes) })
+	r.await("time limits are in force again", r.Stable)
 	total, unanswered := r.Ledger.Total(), r.Ledger.Total()-r.Ledger.Answered
 	r.await("requests are served again", func() bool { return r.Ledger.Total() >= total+finalRequests })
 	if now := r.Ledger.Total() - r.Ledger.Answered; now > unanswered {
 		r.t.Errorf("got %d unanswered requests after the last fault, want none", now-unanswered)
 	}
 	r.EndLoad()
-	for _, b := range r.Ledger.Broken() {
+	for _, b := range r.Ledger.Violations() {
 		r.t.Error(b)
 	}
 	r.t.Log(r.Ledger.Summary())
@@ -434,9 +438,9 @@
 	r.Store.SetFault("", standin.FaultStale)
 	// Drain all endpoints: a single one may receive no new flow if it holds a feed
 	// and the others are idle.
-	for _, h := range r.Hosts {
+	for _, h := range r.Endpoints {
 		r.Drain(h)
 	}
-	r.await("the ledger reports a violated guarantee", func() bool { return len(r.Ledger.Broken()) > 0 })
-	r.t.Log(r.Ledger.Broken()[0])
+	r.await("the ledger reports a violated guarantee", func() bool { return len(r.Ledger.Violations()) > 0 })
+	r.t.Log(r.Ledger.Violations()[0])
 }
--- a/status.go
+++ b/status.go
@@ -71,13 +71,13 @@
 type EndpointStatus struct {
 	Endpoint EndpointID
 	Keeper   InstanceID
-	Version  Version
+	Version  StatusVersion
 	State    EndpointState
 	Guarded  bool
 }
 
-// Report is the load that an endpoint reports. It may be outdated or wrong.
-type Report struct {
+// LoadReport is the load that an endpoint reports. It may be outdated or wrong.
+type LoadReport struct {
 	Flows    int  `json:"flows"`    // number of open flows
 	Requests int  `json:"requests"` // number of requests in progress
 	Cold     bool `json:"cold"`     // cannot serve its full load yet
@@ -114,12 +114,12 @@
 
 // Claim is the record of a keyed request.
 type Claim struct {
-	Key      IdempotencyKey
-	Service  ServiceID
-	Digest   RequestDigest
-	Attempt  AttemptID  // attempt that may reach an endpoint
-	Entry    InstanceID // instance that makes the attempt
-	State    ClaimState
-	Answer   Answer    // set only in state ClaimAnswered
-	Deadline time.Time // time at which the claim may be deleted
+	Key           IdempotencyKey
+	Service       ServiceID
+	Digest        RequestDigest
+	Attempt       AttemptID  // attempt that may reach an endpoint
+	EntryInstance InstanceID // instance that makes the attempt
+	State         ClaimState
+	Answer        Answer    // set only in state ClaimAnswered
+	Deadline      time.Time // time at which the claim may be deleted
 }
