--- a/clock.go
+++ b/clock.go
@@ -19,7 +19,7 @@
 // machine is suspended. Only the differences between its times are meaningful.
 type MonotonicClock struct{}
 
-// NewMonotonicClock returns a SteadyClock.
+// NewMonotonicClock returns a MonotonicClock.
 func NewMonotonicClock() MonotonicClock { return MonotonicClock{} }
 
 // Now returns the Unix epoch plus the time since boot, or the wall-clock time if
--- a/core/board/board.go
+++ b/core/board/board.go
@@ -59,7 +59,7 @@
 	// replicaOnlyUntil.
 	mu               sync.Mutex
 	memberList       []carawaycart.Member             // as set by SetMembers
-	replicaOnlyUntil map[carawaycart.ZoneID]time.Time // when zones that returned to service get full duty
+	replicaOnlyUntil map[carawaycart.ZoneID]time.Time // when zones that returned to service may have keepers
 	shards           [entryShards]entryShard
 }
 
@@ -156,7 +156,7 @@
 }
 
 // rebuildMembers replaces the view of the fleet. Instances of zones that are out
-// have no duty. Instances of zones that returned to service are first replicas
+// are ineligible. Instances of zones that returned to service are first replicas
 // only. The caller holds the lock, unless the board is not shared yet.
 func (b *Board) rebuildMembers() {
 	zones := map[carawaycart.ZoneID]carawaycart.Zone{}
@@ -190,8 +190,8 @@
 	}
 }
 
-// expireReturnedZones gives full duty to zones that returned to service at least
-// zoneReturnDelay ago.
+// expireReturnedZones makes zones that returned to service at least zoneReturnDelay
+// ago eligible for keepers.
 func (b *Board) expireReturnedZones(now time.Time) {
 	expired := false
 	for id, deadline := range b.replicaOnlyUntil {
@@ -225,8 +225,8 @@
 	return true
 }
 
-// Tick switches routes to newer tables and gives full duty to returned zones once
-// their delays have passed.
+// Tick switches routes to newer tables and makes returned zones eligible for keepers
+// once their delays have passed.
 func (b *Board) Tick(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/board/entry.go
+++ b/core/board/entry.go
@@ -125,9 +125,9 @@
 	return xxhash.Sum64(b[:])
 }
 
-// UpdateStatus stores a status with the next version and returns it and true. If keeper,
-// state and guarded are those of the stored status, it returns that and false. The
-// first status has version 1.
+// UpdateStatus stores a status with the next version and returns it and true. If
+// keeper, state and guarded are those of the stored status, it returns that and
+// false. The first status has version 1.
 func (e *Entry) UpdateStatus(keeper carawaycart.InstanceID, state carawaycart.EndpointState, guarded bool) (carawaycart.EndpointStatus, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/core/claim/table.go
+++ b/core/claim/table.go
@@ -167,9 +167,9 @@
 	return dst
 }
 
-// MarkPendingUnknown sets the state of the pending claims of entry instances for which failed
-// returns true to unknown, because such an instance may have sent the request to an
-// endpoint before it failed.
+// MarkPendingUnknown sets the state of the pending claims of entry instances for
+// which failed returns true to unknown, because such an instance may have sent the
+// request to an endpoint before it failed.
 func (t *Table) MarkPendingUnknown(failed func(carawaycart.InstanceID) bool) {
 	for i := range t.shards {
 		s := &t.shards[i]
--- a/core/config/apply.go
+++ b/core/config/apply.go
@@ -11,9 +11,9 @@
 	"carawaycart/core/slot"
 )
 
-// BaseReplacement is the After value of a change of kind settle, whose Name is that of a
-// service. It replaces bases that no longer own flows by the current endpoints of
-// their slots.
+// BaseReplacement is the After value of a change of kind settle, whose Name is that
+// of a service. It replaces bases that no longer own flows by the current endpoints
+// of their slots.
 type BaseReplacement struct {
 	Moves []BaseMove `json:"moves"`
 }
@@ -138,10 +138,10 @@
 	return c.applyObject(carawaycart.Change{Kind: kind, Name: name, After: after})
 }
 
-// ApplyOrSkip returns the configuration that results from applying change to c. If Apply
-// rejects change, ApplyOrSkip returns the objects of c with the revision and ID of change,
-// and the error of Apply, so that all instances skip the change alike. It returns
-// nil and an error if the revision of change is not the next one.
+// ApplyOrSkip returns the configuration that results from applying change to c. If
+// Apply rejects change, ApplyOrSkip returns the objects of c with the revision and
+// ID of change, and the error of Apply, so that all instances skip the change alike.
+// It returns nil and an error if the revision of change is not the next one.
 func (c *Configuration) ApplyOrSkip(change carawaycart.Change) (*Configuration, error) {
 	n, err := c.Apply(change)
 	if err == nil || change.Revision != c.Revision+1 {
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -104,9 +104,9 @@
 	return ok && e.Mark != carawaycart.MarkEnded && !c.Zones[e.Zone].Out
 }
 
-// EncodedObject returns the JSON encoding of the object of the given kind and name, or nil
-// if there is none. It returns nil for the kinds settle and bundle, which do not
-// name an object. The error is NotValid for an unknown kind.
+// EncodedObject returns the JSON encoding of the object of the given kind and name,
+// or nil if there is none. It returns nil for the kinds settle and bundle, which do
+// not name an object. The error is NotValid for an unknown kind.
 func (c *Configuration) EncodedObject(kind carawaycart.ObjectKind, name string) (json.RawMessage, error) {
 	var v any
 	var ok bool
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -147,7 +147,7 @@
 
 // Guards against instances that stop at an invalid change in the log: they must skip
 // it and continue at the next revision.
-func TestNextSkipsInvalidChange(t *testing.T) {
+func TestApplyOrSkipSkipsInvalidChange(t *testing.T) {
 	c := newTestConfig(t)
 	n, err := c.ApplyOrSkip(carawaycart.Change{Revision: c.Revision + 1, Kind: "corrupt"})
 	if err == nil || n == nil || n.Revision != c.Revision+1 || len(n.Endpoints) != 4 {
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -7,10 +7,10 @@
 	"carawaycart"
 )
 
-// Decoder decodes an item into a record; it returns an error for an invalid item.
+// Decoder decodes an item; it returns an error for an invalid item.
 type Decoder func(carawaycart.StoreItem) (carawaycart.DecodedItem, error)
 
-// entry is an item with its decoded record, which is empty for an invalid item.
+// entry is an item with its decoded form, which is empty for an invalid item.
 type entry struct {
 	item    carawaycart.StoreItem
 	decoded carawaycart.DecodedItem
@@ -180,7 +180,7 @@
 	return e.item, ok
 }
 
-// Contents holds the decoded records of all items; the slices are in order of the
+// Contents holds all items in decoded form; the slices are in order of the
 // items' keys.
 type Contents struct {
 	Config    *carawaycart.RouteConfig // nil if the store has none
@@ -190,7 +190,7 @@
 	Instances []carawaycart.Registration
 }
 
-// Contents returns the decoded records of all items. If there is a configuration,
+// Contents returns all items in decoded form. If there is a configuration,
 // it omits lifetimes of services that the configuration does not name, because
 // their entries were not written by the platform.
 func (d *Directory) Contents() Contents {
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -29,7 +29,7 @@
 
 func zones(d *directory.Directory) []carawaycart.ZoneID { return d.Contents().ZonesOut }
 
-func TestReplaceReturnsDelta(t *testing.T) {
+func TestApplyReadReturnsDelta(t *testing.T) {
 	d := directory.New(decodeZone)
 	d.ApplyRead([]carawaycart.StoreItem{item("a", "1", 3), item("b", "1", 4)}, 5)
 	got := d.ApplyRead([]carawaycart.StoreItem{item("b", "2", 7), item("c", "1", 6)}, 8)
@@ -45,7 +45,7 @@
 }
 
 // A read that is answered late must not restore items that a later read removed.
-func TestReplaceIgnoresOlderRead(t *testing.T) {
+func TestApplyReadIgnoresOlderRead(t *testing.T) {
 	d := directory.New(decodeZone)
 	d.ApplyRead([]carawaycart.StoreItem{item("a", "2", 9)}, 10)
 	if delta := d.ApplyRead([]carawaycart.StoreItem{item("a", "1", 3), item("b", "1", 4)}, 5); !delta.Empty() {
@@ -59,7 +59,7 @@
 // The pages of a read are fetched one after another, so an item may be newer than the
 // revision of the read, which is that of the first page. A later read at a revision
 // below the item's must not remove it.
-func TestReplaceKeepsItemNewerThanRead(t *testing.T) {
+func TestApplyReadKeepsItemNewerThanRead(t *testing.T) {
 	d := directory.New(decodeZone)
 	d.ApplyRead([]carawaycart.StoreItem{item("a", "1", 12)}, 10)
 	d.ApplyRead(nil, 11)
@@ -75,7 +75,7 @@
 // A delta must not be applied if the directory lacks earlier changes, because they
 // would be lost, nor if the directory is newer, because old items would return. It
 // must be applied if it begins at an earlier revision than the directory's.
-func TestApplyRejectsGap(t *testing.T) {
+func TestApplyDeltaRejectsGap(t *testing.T) {
 	d := directory.New(decodeZone)
 	d.ApplyRead(nil, 5)
 	if d.ApplyDelta(directory.Delta{From: 6, To: 8, Items: []carawaycart.StoreItem{item("a", "1", 8)}}) {
@@ -188,7 +188,7 @@
 	}
 }
 
-func BenchmarkReplaceUnchanged(b *testing.B) {
+func BenchmarkApplyReadUnchanged(b *testing.B) {
 	for _, n := range []int{18, 150, 21000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var items []carawaycart.StoreItem
--- a/core/directory/lifetime_tracker.go
+++ b/core/directory/lifetime_tracker.go
@@ -31,8 +31,9 @@
 	endedRetention = 70 * time.Second
 )
 
-// TrackedLifetime is a tracked lifetime with its presence. If only a peer has reported the
-// lifetime, Lifetime holds just its key, and Revision and ColdUntil are zero.
+// TrackedLifetime is a tracked lifetime with its presence. If only a peer has
+// reported the lifetime, Lifetime holds just its key, and Revision and ColdUntil are
+// zero.
 type TrackedLifetime struct {
 	Lifetime carawaycart.Lifetime
 	Presence Presence
@@ -61,22 +62,22 @@
 // RecordStoreFailure records a store failure at now, such as a read that failed.
 func (t *LifetimeTracker) RecordStoreFailure(now time.Time) { t.lastFailure = now }
 
-// ApplyContents applies the contents of the directory as of now, and then does what Tick
-// does.
+// ApplyContents applies the contents of the directory as of now, and then does what
+// Tick does.
 func (t *LifetimeTracker) ApplyContents(c *Contents, now time.Time) {
-	bornByID := make(map[carawaycart.EndpointID]carawaycart.UnixMillis, len(c.Lifetimes))
+	startByID := make(map[carawaycart.EndpointID]carawaycart.UnixMillis, len(c.Lifetimes))
 	newestByAddress := make(map[netip.AddrPort]carawaycart.UnixMillis, len(c.Lifetimes))
 	for _, l := range c.Lifetimes {
-		bornByID[l.ID] = l.StartedAt
+		startByID[l.ID] = l.StartedAt
 		newestByAddress[l.Address] = max(newestByAddress[l.Address], l.StartedAt)
 		t.markPresent(l, c.Revisions[l.Key()], now)
 	}
 	for key, s := range t.lifetimes {
-		born, listed := bornByID[key.ID]
+		startedAt, listed := startByID[key.ID]
 		switch {
 		case s.Lifetime.StartedAt < newestByAddress[s.Lifetime.Address]:
 			t.markEnded(s, now) // the address is reassigned only after its previous owner has ended
-		case listed && born == key.StartedAt:
+		case listed && startedAt == key.StartedAt:
 		case listed:
 			t.markEnded(s, now) // the endpoint has restarted
 		case s.Presence == Present:
@@ -94,7 +95,7 @@
 		t.lifetimes[l.Key()] = s
 	}
 	if s.Revision != revision {
-		// ColdLeft counts from when the entry was written. That time is unknown
+		// ColdRemaining counts from when the entry was written. That time is unknown
 		// but no later than now, so ColdUntil may be late but not early.
 		s.ColdUntil = now.Add(l.ColdRemaining)
 		s.Revision = revision
@@ -153,7 +154,8 @@
 	return false
 }
 
-// EndedLifetimes returns the retained lifetimes that have ended, in no particular order.
+// EndedLifetimes returns the retained lifetimes that have ended, in no particular
+// order.
 func (t *LifetimeTracker) EndedLifetimes() []carawaycart.LifetimeKey {
 	var keys []carawaycart.LifetimeKey
 	for key, s := range t.lifetimes {
--- a/core/directory/lifetime_tracker_test.go
+++ b/core/directory/lifetime_tracker_test.go
@@ -11,9 +11,9 @@
 
 var start = time.Unix(1000, 0)
 
-func lifetime(id string, born int64, address string) *carawaycart.Lifetime {
+func lifetime(id string, startedAt int64, address string) *carawaycart.Lifetime {
 	return &carawaycart.Lifetime{
-		ID: carawaycart.EndpointID(id), StartedAt: carawaycart.UnixMillis(born), Service: "desk",
+		ID: carawaycart.EndpointID(id), StartedAt: carawaycart.UnixMillis(startedAt), Service: "desk",
 		Address: netip.MustParseAddrPort(address),
 	}
 }
@@ -23,10 +23,10 @@
 }
 
 // presence returns the presence of a lifetime, and false if it is not tracked.
-func presence(tracker *directory.LifetimeTracker, id string, born int64) (directory.Presence, bool) {
+func presence(tracker *directory.LifetimeTracker, id string, startedAt int64) (directory.Presence, bool) {
 	var found *directory.TrackedLifetime
 	tracker.ForEach(func(s *directory.TrackedLifetime) {
-		if s.Lifetime.Key() == (carawaycart.LifetimeKey{ID: carawaycart.EndpointID(id), StartedAt: carawaycart.UnixMillis(born)}) {
+		if s.Lifetime.Key() == (carawaycart.LifetimeKey{ID: carawaycart.EndpointID(id), StartedAt: carawaycart.UnixMillis(startedAt)}) {
 			found = s
 		}
 	})
--- a/core/flow/records.go
+++ b/core/flow/records.go
@@ -103,7 +103,7 @@
 	s.records[added.Fingerprint] = &record{FlowRecord: added, lastSeen: now.UnixNano()}
 }
 
-// supersedes reports whether Put replaces record b of an open flow by a. Unless two
+// supersedes reports whether Merge replaces record b of an open flow by a. Unless two
 // records were opened in the same nanosecond, the outcome does not depend on their
 // order of arrival, so that instances with the same records agree on the owner.
 func supersedes(a, b carawaycart.FlowRecord) bool {
--- a/core/limit/budget.go
+++ b/core/limit/budget.go
@@ -26,7 +26,8 @@
 // NewBudget returns a full budget that allows ratio retries per first attempt.
 func NewBudget(ratio float64) *Budget { return &Budget{ratio: ratio, tokens: maxBudgetTokens} }
 
-// RecordRequest records the first attempt at a request, which adds the ratio to the budget.
+// RecordRequest records the first attempt at a request, which adds the ratio to the
+// budget.
 func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/limit/limiter.go
+++ b/core/limit/limiter.go
@@ -54,7 +54,7 @@
 	permits            map[carawaycart.PermitID]permit
 }
 
-// permit is the use of one request slot by instance holder, until a deadline.
+// permit is the use of one request slot by an instance, until a deadline.
 type permit struct {
 	instance carawaycart.InstanceID
 	deadline time.Time
@@ -133,7 +133,7 @@
 
 // RecordFailure records that a request for a load report failed at now. The endpoint
 // becomes dead after deadThreshold refused connections since the last report, and
-// otherwise silent when that report is reportTimeout old. If connectionRefused is
+// otherwise silent when that report is silenceTimeout old. If connectionRefused is
 // true, no process listens at the endpoint's address.
 func (l *Limiter) RecordFailure(connectionRefused bool, now time.Time) {
 	l.mu.Lock()
@@ -149,10 +149,10 @@
 	}
 }
 
-// UpdateGuard updates at now whether the endpoint is guarded, which means that packets of
-// its slots must pass through the keeper. If flowsElsewhere is true, other endpoints
-// own flows of those slots. The endpoint is guarded while it is not open or
-// flowsElsewhere is true, and for twice propagationDelay after that.
+// UpdateGuard updates at now whether the endpoint is guarded, which means that
+// packets of its slots must pass through the keeper. If flowsElsewhere is true,
+// other endpoints own flows of those slots. The endpoint is guarded while it is not
+// open or flowsElsewhere is true, and for twice propagationDelay after that.
 func (l *Limiter) UpdateGuard(flowsElsewhere bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -233,10 +233,10 @@
 	return l.profile.ColdFlows + int(int64(l.endpoint.MaxFlows)*int64(elapsed)/int64(span))
 }
 
-// AcquirePermit grants permit id to holder until deadline if a request slot is free at
-// now, and reports whether it did. It returns true for a permit that is already
-// held, so that a call can be retried.
-func (l *Limiter) AcquirePermit(id carawaycart.PermitID, holder carawaycart.InstanceID, deadline, now time.Time) bool {
+// AcquirePermit grants permit id to instance until deadline if a request slot is
+// free at now, and reports whether it did. It returns true for a permit that is
+// already held, so that a call can be retried.
+func (l *Limiter) AcquirePermit(id carawaycart.PermitID, instance carawaycart.InstanceID, deadline, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, ok := l.permits[id]; ok {
@@ -246,16 +246,16 @@
 	if now.Before(l.permitsStart) || now.Before(l.shedUntil) || len(l.permits) >= l.requestLimit() {
 		return false
 	}
-	l.permits[id] = permit{instance: holder, deadline: deadline}
+	l.permits[id] = permit{instance: instance, deadline: deadline}
 	return true
 }
 
 // RegisterPermit records a permit that a previous keeper granted. It does not check the
 // limit of the endpoint.
-func (l *Limiter) RegisterPermit(id carawaycart.PermitID, holder carawaycart.InstanceID, deadline time.Time) {
+func (l *Limiter) RegisterPermit(id carawaycart.PermitID, instance carawaycart.InstanceID, deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.permits[id] = permit{instance: holder, deadline: deadline}
+	l.permits[id] = permit{instance: instance, deadline: deadline}
 }
 
 // requestLimit returns the number of request slots that may be in use.
@@ -278,8 +278,8 @@
 	}
 }
 
-// ReleasePermit frees the request slot of permit id at now. If shed is true, the endpoint
-// refused the request because it was overloaded, and the backoff starts.
+// ReleasePermit frees the request slot of permit id at now. If shed is true, the
+// endpoint refused the request because it was overloaded, and the backoff starts.
 func (l *Limiter) ReleasePermit(id carawaycart.PermitID, shed bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/core/limit/limiter_test.go
+++ b/core/limit/limiter_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestAcquire(t *testing.T) {
+func TestAcquirePermit(t *testing.T) {
 	l := limit.NewLimiter(endpoint, profile, carawaycart.EndpointStatus{}, start)
 	l.RecordReport(carawaycart.LoadReport{}, start)
 	deadline := start.Add(time.Second)
--- a/core/member/table_test.go
+++ b/core/member/table_test.go
@@ -173,8 +173,8 @@
 
 // Instances of zones that are out must not be holders, and those of zones that
 // returned to service not yet keepers, unless no instance could then be keeper.
-func TestDuties(t *testing.T) {
-	duty := func(d member.Eligibility) func(carawaycart.ZoneID) member.Eligibility {
+func TestEligibility(t *testing.T) {
+	eligible := func(d member.Eligibility) func(carawaycart.ZoneID) member.Eligibility {
 		return func(z carawaycart.ZoneID) member.Eligibility {
 			if z == "za" {
 				return d
@@ -184,15 +184,15 @@
 	}
 	for _, test := range []struct {
 		name         string
-		duty         func(carawaycart.ZoneID) member.Eligibility
+		eligibility  func(carawaycart.ZoneID) member.Eligibility
 		ready, total int
 	}{
-		{"zone in service", duty(member.KeeperEligible), 12, 12},
-		{"zone returned to service", duty(member.ReplicaEligible), 9, 12},
-		{"zone out", duty(member.Ineligible), 9, 9},
+		{"zone in service", eligible(member.KeeperEligible), 12, 12},
+		{"zone returned to service", eligible(member.ReplicaEligible), 9, 12},
+		{"zone out", eligible(member.Ineligible), 9, 9},
 		{"all zones out", func(carawaycart.ZoneID) member.Eligibility { return member.Ineligible }, 12, 12},
 	} {
-		v := member.NewView(twelveMembers(), test.duty)
+		v := member.NewView(twelveMembers(), test.eligibility)
 		if len(v.KeeperCandidates()) != test.ready || v.Len() != test.total {
 			t.Errorf("%s: got %d of %d instances that can be keeper, want %d of %d", test.name, len(v.KeeperCandidates()), v.Len(), test.ready, test.total)
 		}
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -65,10 +65,10 @@
 	h.ReplicaCount++
 }
 
-// Eligibility is the role that the instances of a zone may have for an object.
+// Eligibility states which roles the instances of a zone may have for an object.
 type Eligibility uint8
 
-// The duties, each with the roles that it allows.
+// The values of Eligibility, each with the roles that it allows.
 const (
 	KeeperEligible  Eligibility = iota // keeper or replica
 	ReplicaEligible                    // replica only
@@ -76,22 +76,22 @@
 )
 
 // NewView returns the view of the members that are ready or joining, restricted
-// to the duties of their zones. If no instance could then be keeper, it ignores
-// the duties. Joining instances are replicas only.
-func NewView(members []carawaycart.Member, duty func(carawaycart.ZoneID) Eligibility) *View {
-	v := newView(members, duty)
+// to the roles for which their zones are eligible. If no instance could then be
+// keeper, it ignores the eligibility. Joining instances are replicas only.
+func NewView(members []carawaycart.Member, eligibility func(carawaycart.ZoneID) Eligibility) *View {
+	v := newView(members, eligibility)
 	if len(v.keeperCandidates) == 0 {
 		v = newView(members, func(carawaycart.ZoneID) Eligibility { return KeeperEligible })
 	}
 	return v
 }
 
-// newView returns the view that NewView does, without the exception for duties that
-// leave no keeper.
-func newView(members []carawaycart.Member, duty func(carawaycart.ZoneID) Eligibility) *View {
+// newView returns the view that NewView does, without the exception for the case
+// that no instance could be keeper.
+func newView(members []carawaycart.Member, eligibility func(carawaycart.ZoneID) Eligibility) *View {
 	v := &View{id: lastViewID.Add(1)}
 	for _, m := range members {
-		d := duty(m.Zone)
+		d := eligibility(m.Zone)
 		participates := m.State == carawaycart.MemberReady || m.State == carawaycart.MemberJoining
 		if d == Ineligible || !participates {
 			continue
@@ -109,8 +109,8 @@
 	return v
 }
 
-// KeeperCandidates returns the instances that can be keepers, ordered by ID; the slice must
-// not be modified. It omits ready instances whose zones allow no keeper.
+// KeeperCandidates returns the instances that can be keepers, ordered by ID; the
+// slice must not be modified. It omits ready instances whose zones allow no keeper.
 func (v *View) KeeperCandidates() []Peer { return v.keeperCandidates }
 
 // Len returns the number of instances in the view.
--- a/core/steer/cold.go
+++ b/core/steer/cold.go
@@ -26,13 +26,13 @@
 	MaxFlows       int  // limit for the whole time the endpoint is cold, if HasMaxFlows
 }
 
-// NewColdShare returns the share of one instance for an endpoint that can bear bound
+// NewColdShare returns the share of one instance for an endpoint that can bear limit
 // new flows per second from all instances. The shares of all members of the fleet add
-// up to bound / coldBoundDivisor, rounded down. The rank of the instance among the
+// up to limit / coldLimitDivisor, rounded down. The rank of the instance among the
 // members, counted from zero, decides which shares are rounded up; a negative rank
 // gets none.
-func NewColdShare(bound float64, members, rank int) ColdShare {
-	total := int(bound / coldLimitDivisor)
+func NewColdShare(limit float64, members, rank int) ColdShare {
+	total := int(limit / coldLimitDivisor)
 	if members <= 0 || total <= 0 || rank < 0 {
 		return ColdShare{}
 	}
--- a/core/steer/cold_test.go
+++ b/core/steer/cold_test.go
@@ -13,11 +13,11 @@
 	"carawaycart/core/steer"
 )
 
-// Guards against instances that together exceed half of the bound, or that never use
+// Guards against instances that together exceed half of the limit, or that never use
 // all of it because their shares are rounded down.
-func TestColdSharesAddUpToHalfTheBound(t *testing.T) {
+func TestColdSharesAddUpToHalfTheLimit(t *testing.T) {
 	for _, test := range []struct {
-		bound   float64
+		limit   float64
 		members int
 		want    int // total over all members
 	}{
@@ -25,17 +25,17 @@
 	} {
 		sum := 0
 		for rank := range test.members {
-			sum += steer.NewColdShare(test.bound, test.members, rank).FlowsPerSecond
+			sum += steer.NewColdShare(test.limit, test.members, rank).FlowsPerSecond
 		}
 		if sum != test.want {
-			t.Errorf("bound %v over %d members: got %d flows in total, want %d", test.bound, test.members, sum, test.want)
+			t.Errorf("limit %v over %d members: got %d flows in total, want %d", test.limit, test.members, sum, test.want)
 		}
 	}
 }
 
-// Guards against more flows to a cold endpoint in any second than its bound, at any load
-// and also while each half of the instances does not know the other half.
-func TestColdEndpointStaysWithinBound(t *testing.T) {
+// Guards against more flows to a cold endpoint in any second than its limit, at any
+// load and also while each half of the instances does not know the other half.
+func TestColdEndpointStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(1, 24).Draw(t, "instances")
 		f := newFleet(instances, 3)
@@ -58,11 +58,11 @@
 				forwarded = append(forwarded, at)
 			}
 		}
-		const bound = 4*1.5 + 5 // ColdPerSecond, ColdOverrun and ColdSlack of newFleet
+		const limit = 4*1.5 + 5 // ColdRequestRate, ColdOverrun and ColdSlack of newFleet
 		for i := range forwarded {
 			end, _ := slices.BinarySearch(forwarded, forwarded[i]+time.Second)
-			if n := end - i; n > bound {
-				t.Fatalf("got %d flows in the second from %v, want at most %v", n, forwarded[i], float64(bound))
+			if n := end - i; n > limit {
+				t.Fatalf("got %d flows in the second from %v, want at most %v", n, forwarded[i], float64(limit))
 			}
 		}
 	})
@@ -89,7 +89,7 @@
 		}
 	}
 	if want := 4 * 5; served != want {
-		t.Errorf("got %d flows served in half a second, want %d: half of each bound", served, want)
+		t.Errorf("got %d flows served in half a second, want %d: half of each limit", served, want)
 	}
 }
 
--- a/core/steer/explain.go
+++ b/core/steer/explain.go
@@ -23,7 +23,7 @@
 	Open        int
 }
 
-// Endpoints returns the state of all lifetimes at now, ordered by ID and Born. It
+// Endpoints returns the state of all lifetimes at now, ordered by ID and StartedAt. It
 // returns nil without a table.
 func (r *Router) Endpoints(now time.Time) []EndpointView {
 	t := r.table.Load()
--- a/core/steer/fixture_test.go
+++ b/core/steer/fixture_test.go
@@ -34,8 +34,8 @@
 	return &events{refused: make(map[carawaycart.Cause]int), silentEndpoints: make(map[carawaycart.EndpointID]bool)}
 }
 
-func (e *events) Placed(_ *carawaycart.FlowKey, _ carawaycart.EndpointID, _ *steer.Candidate, how steer.Placement) {
-	if how.EndpointsTried > 0 {
+func (e *events) Placed(_ *carawaycart.FlowKey, _ carawaycart.EndpointID, _ *steer.Candidate, p steer.Placement) {
+	if p.EndpointsTried > 0 {
 		e.hedged++
 	}
 }
@@ -60,18 +60,18 @@
 // fleet is a set of routers with the contents of the store that their tables are built
 // from.
 type fleet struct {
-	contents directory.Contents
-	roster   *directory.LifetimeTracker
-	revision carawaycart.StoreRevision
-	zones    []carawaycart.ZoneID
-	routers  []*steer.Router
-	events   []*events
+	contents  directory.Contents
+	lifetimes *directory.LifetimeTracker
+	revision  carawaycart.StoreRevision
+	zones     []carawaycart.ZoneID
+	routers   []*steer.Router
+	events    []*events
 }
 
 // newFleet returns routers in two zones in front of one service with the given number
 // of warm endpoints, which are distributed over the zones.
 func newFleet(instances, endpoints int) *fleet {
-	f := &fleet{roster: directory.NewLifetimeTracker(), zones: []carawaycart.ZoneID{"a", "b"}}
+	f := &fleet{lifetimes: directory.NewLifetimeTracker(), zones: []carawaycart.ZoneID{"a", "b"}}
 	f.contents.Config = &carawaycart.RouteConfig{
 		Version: 1,
 		Routes: []carawaycart.Route{
@@ -113,7 +113,7 @@
 // update builds new tables from the contents for all routers at now.
 func (f *fleet) update(now time.Time) {
 	f.revision++
-	f.roster.ApplyContents(&f.contents, now)
+	f.lifetimes.ApplyContents(&f.contents, now)
 	for i := range f.routers {
 		f.setTable(i, f.contents.Instances, now)
 	}
@@ -125,7 +125,7 @@
 	c := f.contents
 	c.Instances = members
 	f.routers[i].SetTable(steer.NewTable(&steer.Input{
-		Contents: c, Revision: f.revision, Lifetimes: f.roster, Self: f.contents.Instances[i].ID,
+		Contents: c, Revision: f.revision, Lifetimes: f.lifetimes, Self: f.contents.Instances[i].ID,
 		Limits: steer.ColdLimits{ColdOverrun: 1.5, ColdSlack: 5},
 	}, f.routers[i].Table(), now))
 }
--- a/core/steer/router.go
+++ b/core/steer/router.go
@@ -27,7 +27,7 @@
 type Observer interface {
 	// Placed is called when an endpoint with state c is chosen for the first packet of
 	// a flow, also if the packet was sent to other endpoints before.
-	Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *Candidate, how Placement)
+	Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *Candidate, p Placement)
 	// Refused is called when a packet is not forwarded because of c. The flow is reset
 	// if reset is true. The revision is that of the table, zero if it is not complete.
 	Refused(p *carawaycart.Packet, c carawaycart.Cause, reset bool, revision carawaycart.StoreRevision)
@@ -40,8 +40,8 @@
 	// SilenceChanged is called when a probe shows that an endpoint has become silent or
 	// answers again.
 	SilenceChanged(e carawaycart.EndpointID, silent bool)
-	// RequestsFailed is called with the outcomes since the last call of endpoints that left
-	// requests unanswered.
+	// RequestsFailed is called with the outcomes since the last call of endpoints
+	// that left requests unanswered.
 	RequestsFailed(outcomes []Outcomes)
 	// Overloaded is called when refusals of new flows of a service begin or end, and
 	// periodically in between.
@@ -178,8 +178,8 @@
 	return forward(e)
 }
 
-// FirstPacketTimeout returns the timeout for the answer to a first packet that is sent to an
-// endpoint in zone. It is estimated from earlier answers of this zone.
+// FirstPacketTimeout returns the timeout for the answer to a first packet that is
+// sent to an endpoint in zone. It is estimated from earlier answers of this zone.
 func (r *Router) FirstPacketTimeout(zone carawaycart.ZoneID) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -242,7 +242,7 @@
 // place chooses an endpoint of to for the flow with the given key, preferably one that
 // is not among tried, and notifies the observer. If all are excluded, it returns nil and
 // the cause.
-func (r *Router) place(t *Table, to *routeTarget, key *carawaycart.FlowKey, copyNumber int, tried []*endpoint, now time.Time,
+func (r *Router) place(t *Table, to *routeTarget, key *carawaycart.FlowKey, retransmissions int, tried []*endpoint, now time.Time,
 ) (*endpoint, carawaycart.Cause) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -266,7 +266,7 @@
 		return nil, carawaycart.CauseNoEndpoint
 	}
 	r.observer.Placed(key, endpoints[i].lifetime.ID, &r.candidates[i], Placement{
-		Retransmissions: copyNumber, EndpointsTried: len(tried), Candidates: len(endpoints), Revision: t.Revision,
+		Retransmissions: retransmissions, EndpointsTried: len(tried), Candidates: len(endpoints), Revision: t.Revision,
 	})
 	return endpoints[i], carawaycart.CauseNone
 }
@@ -323,9 +323,10 @@
 	}
 }
 
-// RecordProbe records at now the outcome of a probe that began at began; alive tells whether
-// it was answered. It reports whether the endpoint is to be probed again and whether
-// this probe made it silent. Probes of unknown or ended lifetimes are ignored.
+// RecordProbe records at now the outcome of a probe that began at began; alive tells
+// whether it was answered. It reports whether the endpoint is to be probed again and
+// whether this probe made it silent. Probes of unknown or ended lifetimes are
+// ignored.
 func (r *Router) RecordProbe(key carawaycart.LifetimeKey, alive bool, began, now time.Time) (again, silent bool) {
 	t := r.table.Load()
 	if t == nil || t.byKey[key] == nil || t.byKey[key].presence == directory.Ended {
@@ -359,8 +360,9 @@
 	return !found
 }
 
-// RequestProbe requests a probe of the endpoint with the given token, which a peer has found
-// silent. It does nothing if the endpoint is unknown, ended or already silent.
+// RequestProbe requests a probe of the endpoint with the given token, which a peer
+// has found silent. It does nothing if the endpoint is unknown, ended or already
+// silent.
 func (r *Router) RequestProbe(token carawaycart.Token) {
 	t := r.table.Load()
 	if t == nil {
--- a/core/steer/router_test.go
+++ b/core/steer/router_test.go
@@ -67,7 +67,7 @@
 			return p
 		}, carawaycart.VerdictDrop, carawaycart.CauseEnded},
 		{"entry missing after a store failure", func(f *fleet, e carawaycart.EndpointID) {
-			f.roster.RecordStoreFailure(start.Add(time.Second))
+			f.lifetimes.RecordStoreFailure(start.Add(time.Second))
 			f.remove(e)
 		}, dataOf(feed), carawaycart.VerdictForward, carawaycart.CauseNone},
 		{
--- a/core/steer/table.go
+++ b/core/steer/table.go
@@ -46,10 +46,11 @@
 	answerTarget time.Duration // time within which a request should be answered
 }
 
-// ColdLimits bound the new flows per second that a cold endpoint gets from all instances
-// together: to ColdOverrun times the rate that it can bear, plus ColdSlack.
+// ColdLimits bound the new flows per second that a cold endpoint gets from all
+// instances together: to ColdOverrun times the rate that it can bear, plus
+// ColdSlack.
 type ColdLimits struct {
-	ColdOverrun float64 // factor of carawaycart.ServicePolicy.ColdPerSecond
+	ColdOverrun float64 // factor of carawaycart.ServicePolicy.ColdRequestRate
 	ColdSlack   float64 // new flows per second
 }
 
@@ -89,7 +90,7 @@
 	return t
 }
 
-// addEndpoints adds the endpoints of all lifetimes in in.Roster and assigns their
+// addEndpoints adds the endpoints of all lifetimes in in.Lifetimes and assigns their
 // tokens.
 func (t *Table) addEndpoints(in *Input, previous *Table, now time.Time) {
 	policies := make(map[carawaycart.ServiceID]carawaycart.ServicePolicy)
@@ -136,7 +137,7 @@
 // their ranks and the rank of each varies with the endpoint. A profile without a name
 // does not limit the total number of flows.
 func coldShare(in *Input, policy carawaycart.ServicePolicy, profile carawaycart.Profile, key carawaycart.LifetimeKey) ColdShare {
-	bound := policy.ColdRequestRate*in.Limits.ColdOverrun + in.Limits.ColdSlack
+	limit := policy.ColdRequestRate*in.Limits.ColdOverrun + in.Limits.ColdSlack
 	endpointKey := rendezvous.NewKey(string(key.ID))
 	ownScore := rendezvous.Score(rendezvous.NewName(string(in.Self)), endpointKey)
 	rank, members := 0, 1
@@ -149,7 +150,7 @@
 			rank++
 		}
 	}
-	share := NewColdShare(bound, members, rank)
+	share := NewColdShare(limit, members, rank)
 	if profile.Name != "" {
 		share.HasMaxFlows = true
 		share.MaxFlows = memberShare(profile.ColdFlows, members, rank)
--- a/ids.go
+++ b/ids.go
@@ -31,8 +31,8 @@
 // the highest one is valid.
 type Incarnation uint64
 
-// StatusVersion orders the statuses of an endpoint that its keepers publish; the highest
-// one is valid.
+// StatusVersion orders the statuses of an endpoint that its keepers publish; the
+// highest one is valid.
 type StatusVersion uint64
 
 // IdempotencyKey identifies a keyed request, an HTTP request with an Idempotency-Key
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -85,9 +85,9 @@
 	})
 }
 
-// MarkLeaving marks endpoint id as leaving. Its flows may continue until they end or until
-// the drain time in the profile of its service has passed. The error is NotFound if
-// the endpoint does not exist and NotValid if it already has a mark.
+// MarkLeaving marks endpoint id as leaving. Its flows may continue until they end or
+// until the drain time in the profile of its service has passed. The error is
+// NotFound if the endpoint does not exist and NotValid if it already has a mark.
 func (a *Admin) MarkLeaving(ctx context.Context, id carawaycart.EndpointID) (carawaycart.Change, error) {
 	c, err := a.log.Latest(ctx)
 	if err != nil {
--- a/internal/control/dispatcher.go
+++ b/internal/control/dispatcher.go
@@ -45,7 +45,7 @@
 // outcome with its cause.
 func (d *Dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := d.clock.Now()
-	query, err := caller.ParseRequest(r, now)
+	params, err := caller.ParseRequest(r, now)
 	if err != nil {
 		d.refuse(w, caller.CauseMalformed, err.Error())
 		return
@@ -55,22 +55,22 @@
 		d.refuse(w, caller.CauseNotReady, "no configuration")
 		return
 	}
-	route := view.ServiceByID(query.Service)
+	route := view.ServiceByID(params.Service)
 	if route == nil {
-		d.refuse(w, caller.CauseUnknownService, string(query.Service))
+		d.refuse(w, caller.CauseUnknownService, string(params.Service))
 		return
 	}
 	deadline := now.Add(route.Profile.RequestSeconds.Duration())
-	if !query.Deadline.IsZero() && query.Deadline.Before(deadline) {
-		deadline = query.Deadline
+	if !params.Deadline.IsZero() && params.Deadline.Before(deadline) {
+		deadline = params.Deadline
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
 	// Aborts the request of a caller that sends its body too slowly. The error is
 	// ignored because some response writers, as in tests, support no deadlines.
 	_ = http.NewResponseController(w).SetReadDeadline(deadline)
-	job := &job{request: r, query: query, route: route, deadline: deadline}
-	if query.Key != "" && !query.Idempotent {
+	job := &job{request: r, params: params, route: route, deadline: deadline}
+	if params.Key != "" && !params.Idempotent {
 		d.serveKeyed(ctx, w, job)
 		return
 	}
@@ -202,7 +202,7 @@
 	_, _ = digest.WriteString(j.request.Method + " " + j.request.URL.RequestURI() + "\n")
 	_, _ = digest.Write(j.buffered)
 	return carawaycart.Claim{
-		Key: j.query.Key, Service: j.query.Service, Digest: carawaycart.RequestDigest(digest.Sum64()),
+		Key: j.params.Key, Service: j.params.Service, Digest: carawaycart.RequestDigest(digest.Sum64()),
 		Attempt: carawaycart.AttemptID(uuid.NewString()), EntryInstance: d.board.Self, State: carawaycart.ClaimPending,
 		Deadline: j.deadline.Add(j.route.Profile.AnswerSeconds.Duration()),
 	}
@@ -270,7 +270,7 @@
 // job is one request to be sent to an endpoint.
 type job struct {
 	request  *http.Request
-	query    caller.RequestParams
+	params   caller.RequestParams
 	route    *board.ServiceRoute
 	deadline time.Time     // of the answer
 	buffered []byte        // the whole body, which can be resent
--- a/internal/control/sender.go
+++ b/internal/control/sender.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// acquirePermit returns a acquirePermit of an endpoint that accepts requests, or nil if none
+// acquirePermit returns a permit of an endpoint that accepts requests, or nil if none
 // has a free request slot before queueEnd. It skips the endpoints in failed in
 // the first round, and then clears failed.
 func (s *Sender) acquirePermit(ctx context.Context, j *job, failed map[carawaycart.EndpointID]bool, queueEnd time.Time) *Permit {
@@ -155,12 +155,12 @@
 // lostResult returns the result of an attempt that an endpoint may have run,
 // and whether it may be retried.
 func (s *Sender) lostResult(ctx context.Context, j *job, err error) (result, bool) {
-	retry := j.query.Idempotent && j.body == nil && ctx.Err() == nil
+	retry := j.params.Idempotent && j.body == nil && ctx.Err() == nil
 	return result{outcome: carawaycart.OutcomeUnknown, cause: caller.CauseEndpointLost, detail: err.Error()}, retry
 }
 
-// newRequest returns the newRequest to an endpoint. Its body hides from net/http
-// that it can be rewound, because net/http would otherwise resend a newRequest
+// newRequest returns the request to an endpoint. Its body hides from net/http
+// that it can be rewound, because net/http would otherwise resend a request
 // with an idempotency key by itself when a connection breaks.
 func (s *Sender) newRequest(ctx context.Context, j *job) (*http.Request, error) {
 	body := j.body
@@ -170,7 +170,7 @@
 		length = int64(len(j.buffered))
 	}
 	// net/http may resend an idempotent request.
-	if j.query.Idempotent && length == 0 {
+	if j.params.Idempotent && length == 0 {
 		body = http.NoBody
 	}
 	r, err := http.NewRequestWithContext(ctx, j.request.Method, j.request.URL.RequestURI(), singleUseBody{body})
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -47,10 +47,10 @@
 
 // Violations returns the guarantees that the run violated.
 func (r *Report) Violations() []Violation {
-	var breaches []Violation
+	var violations []Violation
 	requireZero := func(n int, guarantee string) {
 		if n != 0 {
-			breaches = append(breaches, Violation{Guarantee: guarantee, Observed: fmt.Sprintf("%d", n)})
+			violations = append(violations, Violation{Guarantee: guarantee, Observed: fmt.Sprintf("%d", n)})
 		}
 	}
 	requireZero(r.FlowsBroken, "an established flow survives any planned change")
@@ -65,18 +65,18 @@
 	requireZero(r.RequestsCutByStop, "a planned stop interrupts no request")
 	requireZero(r.ConfigReverts, "an accepted configuration never reverts")
 	if r.ConfigInForceSecondsMax > maxInForceSeconds {
-		breaches = append(breaches, Violation{
+		violations = append(violations, Violation{
 			Guarantee: "an accepted configuration is in force everywhere within seconds",
 			Observed:  fmt.Sprintf("%.1f s", r.ConfigInForceSecondsMax),
 		})
 	}
 	if r.FlowsOpened == 0 || r.KeyedAnswered == 0 {
-		breaches = append(breaches, Violation{
+		violations = append(violations, Violation{
 			Guarantee: "flows are opened and orders are confirmed",
 			Observed:  fmt.Sprintf("%d flows opened, %d orders confirmed", r.FlowsOpened, r.KeyedAnswered),
 		})
 	}
-	return breaches
+	return violations
 }
 
 // Write writes the report to w as a table with one value per row.
--- a/internal/demo/script.go
+++ b/internal/demo/script.go
@@ -112,7 +112,7 @@
 	return d.options.Site.Zones[len(d.options.Site.Zones)-1]
 }
 
-// zoneOut takes the evacuated zone out of service.
+// zoneOut takes the zone that zoneToTakeOut returns out of service.
 func (d *Demo) zoneOut(ctx context.Context) error {
 	z := d.zoneToTakeOut()
 	err := d.applyChange(ctx, "zone "+string(z)+" is taken out", func() (carawaycart.Change, error) {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// zoneBack returns the evacuated zone to service.
+// zoneBack returns that zone to service.
 func (d *Demo) zoneBack(ctx context.Context) error {
 	z := d.zoneToTakeOut()
 	err := d.applyChange(ctx, "zone "+string(z)+" is brought back", func() (carawaycart.Change, error) {
--- a/internal/edge/disseminator.go
+++ b/internal/edge/disseminator.go
@@ -346,12 +346,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.reply == nil || c.since != since || c.revision != view.State().Revision || now.Sub(c.encodedAt) > snapshotCacheTTL {
-		snapshot, confirmed := view.SnapshotSince(since)
+		snapshot, readAt := view.SnapshotSince(since)
 		reply, err := message.FromSnapshot(snapshot, 0)
 		if err != nil {
 			return nil, err
 		}
-		c.since, c.revision, c.readAt, c.encodedAt, c.reply = since, snapshot.Revision, confirmed, now, reply
+		c.since, c.revision, c.readAt, c.encodedAt, c.reply = since, snapshot.Revision, readAt, now, reply
 	}
 	age := max(now.Sub(c.readAt), 0)
 	return &message.DirectoryCopy{
--- a/internal/edge/edge.go
+++ b/internal/edge/instance.go
@@ -244,8 +244,8 @@
 	Operator net.Listener // status, explanations and metrics
 }
 
-// OpenSockets opens the sockets at the addresses in s. If one cannot be opened, it returns
-// the error and leaves the others open.
+// OpenSockets opens the sockets at the addresses in s. If one cannot be opened, it
+// returns the error and leaves the others open.
 func OpenSockets(s settings.Settings) (*Sockets, error) {
 	sockets := &Sockets{}
 	var err error
--- a/internal/edge/edge_test.go
+++ b/internal/edge/instance_test.go
@@ -19,11 +19,11 @@
 	"carawaycart/platform/standin"
 )
 
-// instance is an instance under test on a machine of a site. Its edge is nil while
-// it is stopped.
+// instance is an instance under test on a machine of a site. The field running is
+// nil while it is stopped.
 type instance struct {
 	machine  standin.Machine
-	edge     *edge.Instance
+	running  *edge.Instance
 	log      *eventlog.Log
 	logLines logLines
 }
@@ -65,8 +65,8 @@
 	t.Cleanup(func() {
 		s.EndLoad()
 		for _, i := range f.instances {
-			if i.edge != nil {
-				i.edge.Close()
+			if i.running != nil {
+				i.running.Close()
 				i.log.Close()
 			}
 			if t.Failed() {
@@ -102,16 +102,16 @@
 		t.Fatal(err)
 	}
 	i.log = eventlog.New(s.ID, &i.logLines)
-	if i.edge, err = edge.New(s, sockets, i.log); err != nil {
+	if i.running, err = edge.New(s, sockets, i.log); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // kill closes i immediately, without the graceful shutdown of Stop.
 func (f *fleet) kill(i *instance) {
-	i.edge.Close()
+	i.running.Close()
 	i.log.Close()
-	i.edge = nil
+	i.running = nil
 }
 
 // await waits until condition holds, and ends the test with an error after 30 s. The
@@ -249,8 +249,8 @@
 	f.kill(f.instances[0])
 	f.awaitRequests(t, 150)
 	f.start(t, f.instances[0], "")
-	f.instances[3].edge.Stop() // a graceful shutdown, unlike kill
-	f.instances[3].edge = nil
+	f.instances[3].running.Stop() // a graceful shutdown, unlike kill
+	f.instances[3].running = nil
 	f.awaitRequests(t, 150)
 	f.checkLedger(t)
 }
@@ -266,7 +266,7 @@
 	i := f.instances[0]
 	f.kill(i)
 	f.start(t, i, "[peers]\nseeds = "+f.instances[1].machine.IP+":1\n")
-	f.await(t, "the instance is ready without the store", i.edge.Ready)
+	f.await(t, "the instance is ready without the store", i.running.Ready)
 	f.awaitRequests(t, 60)
 	f.checkLedger(t)
 }
@@ -283,12 +283,12 @@
 		h.SetCondition(standin.Unreachable)
 	}
 	f.awaitRequests(t, 60)
-	if e := f.instances[0].edge; !e.Ready() {
+	if e := f.instances[0].running; !e.Ready() {
 		t.Error("got an instance that reaches the store not ready, want ready, since other zones cannot reach the endpoints either")
 	}
 	f.Store.SetFault("", standin.FaultSilent)
 	f.await(t, "the isolated instance is out of rotation", func() bool { return f.Routers.ReadyCount() == 0 })
-	if s := f.instances[0].edge.Status(); s.State != "isolated" || len(s.Alarms) == 0 {
+	if s := f.instances[0].running.Status(); s.State != "isolated" || len(s.Alarms) == 0 {
 		t.Errorf("got state %s, alarms %q, want isolated and an alarm", s.State, s.Alarms)
 	}
 	f.Endpoints[0].SetCondition(standin.Healthy)
@@ -306,7 +306,7 @@
 	f.BeginLoad(2, 10)
 	f.awaitRequests(t, 40)
 	f.Endpoints[1].SetCondition(standin.Unreachable)
-	e := f.instances[0].edge
+	e := f.instances[0].running
 	f.await(t, "the unreachable endpoint raises an alarm", func() bool { return len(e.Status().Alarms) > 0 })
 	s := e.Status()
 	if s.State != "ready" || len(s.Members) != 2 || len(s.Endpoints) != 2 {
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -18,14 +18,14 @@
 }
 
 // Placed logs the endpoint that a first packet is sent to.
-func (o *observer) Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *steer.Candidate, placing steer.Placement) {
+func (o *observer) Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *steer.Candidate, p steer.Placement) {
 	o.counters.Placed.Inc(1)
-	if placing.EndpointsTried > 0 {
+	if p.EndpointsTried > 0 {
 		o.counters.Hedged.Inc(1)
 	}
-	o.log.Event("placed").Flow(key).Int("copy", int64(placing.Retransmissions)).Int("hedge", int64(placing.EndpointsTried)).Text("endpoint", string(e)).
+	o.log.Event("placed").Flow(key).Int("copy", int64(p.Retransmissions)).Int("hedge", int64(p.EndpointsTried)).Text("endpoint", string(e)).
 		Int("outstanding", int64(c.Outstanding)).Bool("avoided", c.Avoided).Bool("failing", c.Failing).Bool("cold", c.Cold).
-		Int("candidates", int64(placing.Candidates)).Int("revision", int64(placing.Revision)).End()
+		Int("candidates", int64(p.Candidates)).Int("revision", int64(p.Revision)).End()
 }
 
 // Refused logs why a packet was not forwarded.
--- a/internal/edge/operatorconfig_test.go
+++ b/internal/edge/operatorconfig_test.go
@@ -40,13 +40,13 @@
 	put(carawaycart.KindZone, "a", carawaycart.Zone{ID: "a"})
 	f.awaitRequests(t, 100) // takes longer than the next read of the store
 	const coldPeriod = 4 * time.Second
-	coldHost, err := f.AddEndpoint("a", coldPeriod)
+	cold, err := f.AddEndpoint("a", coldPeriod)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "the cold endpoint is listed", func() bool { return len(f.instances[0].edge.Status().Endpoints) == 5 })
+	f.await(t, "the cold endpoint is listed", func() bool { return len(f.instances[0].running.Status().Endpoints) == 5 })
 	f.awaitRequests(t, 100)
-	if n := coldHost.NewFlows(); n > 2 {
+	if n := cold.NewFlows(); n > 2 {
 		t.Errorf("got %d new flows at a cold endpoint, want at most the 2 that its profile allows", n)
 	}
 	if _, err := a.SetZoneOut(t.Context(), "b", true); err == nil {
@@ -55,9 +55,9 @@
 	if _, err := a.SetZoneOut(t.Context(), "a", true); err != nil {
 		t.Fatal(err)
 	}
-	for _, host := range f.Endpoints {
-		if host.Zone == "a" {
-			host.ForbidNewFlows(time.Now().Add(standin.EvacuationTimeLimit))
+	for _, e := range f.Endpoints {
+		if e.Zone == "a" {
+			e.ForbidNewFlows(time.Now().Add(standin.EvacuationTimeLimit))
 		}
 	}
 	f.await(t, "the time limit of the evacuation has passed", func() bool { return f.Endpoints[0].NewFlowsForbidden() })
--- a/internal/edge/view.go
+++ b/internal/edge/view.go
@@ -34,7 +34,7 @@
 	operatorConfig *config.Configuration // set by operators with the carawaycart commands
 	lastReadAt     time.Time             // start of the last known read of the store
 	storeFailure   time.Time             // time of the last known store failure
-	renewed        chan struct{}         // closed and replaced when confirmed advances
+	renewed        chan struct{}         // closed and replaced when lastReadAt advances
 }
 
 // NewView returns an empty view for instance self that sets the tables of r.
@@ -66,7 +66,7 @@
 	LastReadAt   time.Time                  // start of the last known read of the store; zero if none
 	StoreFailure time.Time                  // last known store failure; zero if none
 	Instances    []carawaycart.Registration // instances listed in the store
-	Renewed      <-chan struct{}            // closed when Confirmed advances
+	Renewed      <-chan struct{}            // closed when LastReadAt advances
 }
 
 // State returns the state of the view.
@@ -82,11 +82,11 @@
 // ApplyRead applies a read of the store that began at began, and returns the delta
 // between the view and the read. A read older than the view is ignored, and its delta
 // is empty.
-func (v *View) ApplyRead(read platform.RangeResult, began time.Time) directory.Delta {
+func (v *View) ApplyRead(r platform.RangeResult, began time.Time) directory.Delta {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	delta := v.directory.ApplyRead(read.Items, read.Revision)
-	if read.Revision >= v.directory.Revision() {
+	delta := v.directory.ApplyRead(r.Items, r.Revision)
+	if r.Revision >= v.directory.Revision() {
 		v.recordRead(began, "store", !delta.Empty())
 	}
 	return delta
--- a/internal/routertest/routertest.go
+++ b/internal/routertest/routertest.go
@@ -16,13 +16,14 @@
 	// returns the decision, which is that of another instance if the first one
 	// relays the packet.
 	OpenFlow(instance, flow int, now time.Time) carawaycart.Decision
-	// SendPacket sends a further packet of a flow, which First opened with decision d,
-	// to the given instance, and returns the decision as First does.
+	// SendPacket sends a further packet of a flow, which OpenFlow opened with
+	// decision d, to the given instance, and returns the decision as OpenFlow does.
 	SendPacket(instance, flow int, d carawaycart.Decision, now time.Time) carawaycart.Decision
-	// OpenToUnknownService sends the first packet of a flow whose destination address belongs
-	// to no service to the given instance, and returns the decision.
+	// OpenToUnknownService sends the first packet of a flow whose destination address
+	// belongs to no service to the given instance, and returns the decision.
 	OpenToUnknownService(instance int, now time.Time) carawaycart.Decision
-	// MarkLeaving marks endpoint e as leaving and lets all instances receive the change.
+	// MarkLeaving marks endpoint e as leaving and lets all instances receive the
+	// change.
 	MarkLeaving(e carawaycart.EndpointID, now time.Time)
 	// Restart restarts an instance, which loses its local state.
 	Restart(instance int, now time.Time)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -46,7 +46,7 @@
 	ReadyAddress netip.AddrPort      // TCP address of the HTTP readiness check of the fabric
 	GraceSeconds carawaycart.Seconds // time from SIGTERM until the instance is killed
 	FirstStart   bool                // the whole fleet starts for the first time, so seeds get more time to answer
-	ColdOverrun  float64             // limit on the new flows per second of a cold endpoint, as a multiple of ServicePolicy.ColdPerSecond
+	ColdOverrun  float64             // limit on the new flows per second of a cold endpoint, as a multiple of ServicePolicy.ColdRequestRate
 	ColdSlack    float64             // new flows per second added to that limit
 }
 
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -4,6 +4,6 @@
 // over loopback, and record the observed traffic in a Ledger.
 //
 // Flow callers open feeds, which are long-lived flows, or uploads, which are short
-// ones. Request callers send keyed requests, which are called orders in the totals
-// and on the wire.
+// ones. Request callers send keyed requests, which are called orders in the JSON
+// form of the totals and on the wire.
 package standin
--- a/internal/standin/host.go
+++ b/internal/standin/emulated_endpoint.go
@@ -40,8 +40,8 @@
 	ColdRequests   int // maximum number of concurrent requests while cold
 }
 
-// EmulatedEndpoint emulates an endpoint of a service. It rejects flows and requests beyond
-// its limits, which are lower while it is cold.
+// EmulatedEndpoint emulates an endpoint of a service. It rejects flows and requests
+// beyond its limits, which are lower while it is cold.
 type EmulatedEndpoint struct {
 	config     EndpointConfig
 	ledger     *Ledger
@@ -70,8 +70,8 @@
 	time   time.Time
 }
 
-// NewEmulatedEndpoint starts an endpoint that listens for packets (UDP) and requests (TCP)
-// on address, a host:port whose port may be 0.
+// NewEmulatedEndpoint starts an endpoint that listens for packets (UDP) and requests
+// (TCP) on address, a host:port whose port may be 0.
 func NewEmulatedEndpoint(c EndpointConfig, address string, l *Ledger, f *Fabric) (*EmulatedEndpoint, error) {
 	a, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -277,7 +277,7 @@
 	writeJSON(w, report)
 }
 
-// RequestAnswer is the body of an endpoint's response to a request. Host is the ID
+// RequestAnswer is the body of an endpoint's response to a request. Endpoint is the ID
 // of the endpoint, and Size the length of the request's body in bytes.
 type RequestAnswer struct {
 	Key      carawaycart.IdempotencyKey `json:"key"`
--- a/internal/standin/list.go
+++ b/internal/standin/instance_list.go
@@ -29,8 +29,8 @@
 	visibleAt time.Time
 }
 
-// NewInstanceList starts a list that listens on address, a host:port whose port may be 0,
-// and publishes each change after delay.
+// NewInstanceList starts a list that listens on address, a host:port whose port may
+// be 0, and publishes each change after delay.
 func NewInstanceList(address string, delay time.Duration) (*InstanceList, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -16,7 +16,7 @@
 	cutoffs   map[string]time.Time               // by endpoint or zone: time from which it must receive no more work
 }
 
-// Totals are the event counts of a ledger. An order is a keyed request.
+// Totals are the event counts of a ledger. The JSON names call keyed requests orders.
 type Totals struct {
 	FlowsOpened           int `json:"flowsOpened"`
 	FlowsBroken           int `json:"flowsBroken"`           // reset, not acknowledged, or acknowledged by another endpoint
@@ -27,8 +27,8 @@
 	KeyedNotRun           int `json:"ordersRefusedNotRun"` // not confirmed, without an attempt of unknown outcome
 	KeyedUnknown          int `json:"ordersUnknown"`       // not confirmed, with an attempt of unknown outcome
 	KeyedRunTwice         int `json:"ordersRunTwice"`      // run more than once
-	FalseRefusals         int `json:"falseRefusals"`       // counted in OrdersRefusedNotRun, but run
-	AnswersCrossed        int `json:"answersCrossed"`      // answers to another order
+	FalseRefusals         int `json:"falseRefusals"`       // counted in KeyedNotRun, but run
+	AnswersCrossed        int `json:"answersCrossed"`      // answers to another keyed request
 	AnswersTruncated      int `json:"answersTruncated"`
 	PacketsToWrongService int `json:"packetsToWrongService"` // packets and requests
 	PacketsAfterZoneOut   int `json:"packetsAfterZoneOut"`   // packets and requests after the cutoff of the zone
--- a/io/caller/query.go
+++ b/io/caller/request_params.go
@@ -37,32 +37,32 @@
 // ParseRequest parses the parameters of r, which arrived at now. It returns a NotValid
 // error for an unsupported HTTP method, a malformed key and a malformed timeout.
 func ParseRequest(r *http.Request, now time.Time) (RequestParams, error) {
-	q := RequestParams{Service: carawaycart.ServiceID(strings.ToLower(hostName(r.Host)))}
+	p := RequestParams{Service: carawaycart.ServiceID(strings.ToLower(hostName(r.Host)))}
 	switch r.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
-		q.Idempotent = true
+		p.Idempotent = true
 	case http.MethodPost, http.MethodPatch:
 	default:
-		return q, errors.NotValidf("method %q", r.Method)
+		return p, errors.NotValidf("method %q", r.Method)
 	}
 	key, err := singleHeader(r, IdempotencyKeyHeader)
 	if err != nil {
-		return q, err
+		return p, err
 	}
 	if len(key) > maxKeyBytes || !isPrintableASCII(key) {
-		return q, errors.NotValidf("%s of %d bytes (want at most %d printable ASCII)", IdempotencyKeyHeader, len(key), maxKeyBytes)
+		return p, errors.NotValidf("%s of %d bytes (want at most %d printable ASCII)", IdempotencyKeyHeader, len(key), maxKeyBytes)
 	}
-	q.Key = carawaycart.IdempotencyKey(key)
+	p.Key = carawaycart.IdempotencyKey(key)
 	timeout, err := singleHeader(r, TimeoutHeader)
 	if err != nil || timeout == "" {
-		return q, err
+		return p, err
 	}
 	ms, err := strconv.Atoi(timeout)
 	if err != nil || ms <= 0 || ms > maxTimeoutMillis {
-		return q, errors.NotValidf("%s %q (want 1 to %d)", TimeoutHeader, timeout, maxTimeoutMillis)
+		return p, errors.NotValidf("%s %q (want 1 to %d)", TimeoutHeader, timeout, maxTimeoutMillis)
 	}
-	q.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
-	return q, nil
+	p.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
+	return p, nil
 }
 
 // hostName returns host without its port.
--- a/io/caller/query_test.go
+++ b/io/caller/request_params_test.go
@@ -16,7 +16,7 @@
 
 // A request with a malformed or repeated header or an unsupported method must be
 // rejected, so that it is not forwarded with a wrong key or timeout.
-func TestReadQuery(t *testing.T) {
+func TestParseRequest(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		method string
@@ -50,7 +50,7 @@
 }
 
 // The deadline must be the arrival plus the timeout in milliseconds.
-func TestReadQueryDeadline(t *testing.T) {
+func TestParseRequestDeadline(t *testing.T) {
 	r := httptest.NewRequest("GET", "http://desk/", nil)
 	r.Header.Set(caller.TimeoutHeader, "250")
 	q, err := caller.ParseRequest(r, arrival)
@@ -75,7 +75,7 @@
 
 // Guards against panics, and against an accepted request whose key is empty or whose
 // deadline is not after its arrival.
-func FuzzReadQuery(f *testing.F) {
+func FuzzParseRequest(f *testing.F) {
 	f.Add("POST", "desk:443", "key", "100")
 	f.Fuzz(func(t *testing.T, method, host, key, timeout string) {
 		r := httptest.NewRequest("POST", "http://desk/", nil)
--- a/io/endpoint/client.go
+++ b/io/endpoint/client.go
@@ -75,13 +75,14 @@
 	return report, nil
 }
 
-// IsConnectionRefused reports whether err, an error of Report or Do, means that the endpoint
-// refused the connection, so that no byte of the request can have reached it.
+// IsConnectionRefused reports whether err, an error of Report or Do, means that the
+// endpoint refused the connection, so that no byte of the request can have reached
+// it.
 func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // IsDialError reports whether err, an error of Report or Do, occurred while dialing,
 // so that no byte of the request can have reached the endpoint. Such errors include
-// those for which Refused returns true.
+// those for which IsConnectionRefused returns true.
 func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/io/fabric/port.go
+++ b/io/fabric/port.go
@@ -34,8 +34,8 @@
 	// Headroom returns the number of bytes reserved before each datagram, which
 	// Translate may overwrite.
 	Headroom() int
-	// ReceiveBufferBytes returns the size of the receive buffer for a datagram, in bytes.
-	// A longer datagram is truncated to it.
+	// ReceiveBufferBytes returns the size of the receive buffer for a datagram, in
+	// bytes. A longer datagram is truncated to it.
 	ReceiveBufferBytes() int
 	// Translate returns the datagram to send and its destination, or false to send
 	// nothing. The received datagram begins in b after the headroom. The result may
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -23,8 +23,8 @@
 
 // Meter counts the bytes that calls and replies send.
 type Meter interface {
-	// CountSent adds bytes to the count of method, which has the form "Peer.Exchange". A
-	// reply counts under the method that it answers.
+	// CountSent adds bytes to the count of method, which has the form
+	// "Peer.Exchange". A reply counts under the method that it answers.
 	CountSent(method string, bytes int)
 }
 
--- a/io/platform/store.go
+++ b/io/platform/store.go
@@ -76,7 +76,7 @@
 
 // CompareAndSwap writes value at key if the entry's modify index equals index and
 // reports whether it did. The index of an absent entry is zero. The error is
-// NotValid if value is longer than MaxValue; after any other error, the value may
+// NotValid if value is longer than MaxValueBytes; after any other error, the value may
 // have been written.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, value []byte, index carawaycart.StoreIndex) (bool, error) {
 	if len(value) > MaxValueBytes {
@@ -129,7 +129,8 @@
 	client  *http.Client
 }
 
-// NewInstanceList returns a client of the list of instances at baseURL, a URL without a path.
+// NewInstanceList returns a client of the list of instances at baseURL, a URL
+// without a path.
 func NewInstanceList(baseURL string) *InstanceList {
 	return &InstanceList{baseURL: baseURL, client: newClient()}
 }
--- a/lifetime.go
+++ b/lifetime.go
@@ -9,8 +9,8 @@
 // the flow; zero means none.
 type Token uint32
 
-// EndpointNumber distinguishes an endpoint from others that have used its address. It is
-// the hexadecimal number in the endpoint's ID, which is not zero.
+// EndpointNumber distinguishes an endpoint from others that have used its address.
+// It is the hexadecimal number in the endpoint's ID, which is not zero.
 type EndpointNumber uint64
 
 // UnixMillis is a time in milliseconds since the Unix epoch.
@@ -97,8 +97,8 @@
 	Revision StoreRevision
 }
 
-// DecodedItem is a decoded StoreItem. At most one field is set; none is set if the key is
-// of an unknown kind or the item is malformed.
+// DecodedItem is a decoded StoreItem. At most one field is set; none is set if the
+// key is of an unknown kind or the item is malformed.
 type DecodedItem struct {
 	Config   *RouteConfig
 	Lifetime *Lifetime
--- a/message/directory.go
+++ b/message/directory.go
@@ -43,29 +43,29 @@
 	}
 }
 
-// FromSnapshot returns the message for the snapshot c, where age is the time since the
+// FromSnapshot returns the message for the snapshot s, where age is the time since the
 // store was read.
-func FromSnapshot(c directory.Snapshot, age time.Duration) (*DirectoryCopy, error) {
-	body := &DirectoryBody{Items: FromItems(c.Items), Keys: c.Keys}
-	for _, k := range c.Ended {
+func FromSnapshot(s directory.Snapshot, age time.Duration) (*DirectoryCopy, error) {
+	body := &DirectoryBody{Items: FromItems(s.Items), Keys: s.Keys}
+	for _, k := range s.Ended {
 		body.Ended = append(body.Ended, &EndedLifetime{Id: string(k.ID), BornMs: int64(k.StartedAt)})
 	}
 	data, err := proto.Marshal(body)
 	if err != nil {
-		return nil, errors.Annotate(err, "encode copy of directory")
+		return nil, errors.Annotate(err, "encode directory snapshot")
 	}
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
 	if err != nil {
-		return nil, errors.Annotate(err, "compress copy of directory")
+		return nil, errors.Annotate(err, "compress directory snapshot")
 	}
 	if _, err = w.Write(data); err == nil {
 		err = w.Close()
 	}
 	if err != nil {
-		return nil, errors.Annotate(err, "compress copy of directory")
+		return nil, errors.Annotate(err, "compress directory snapshot")
 	}
-	return &DirectoryCopy{AtRevision: uint64(c.Revision), AgeMs: uint32(age.Milliseconds()), CompressedBody: b.Bytes()}, nil
+	return &DirectoryCopy{AtRevision: uint64(s.Revision), AgeMs: uint32(age.Milliseconds()), CompressedBody: b.Bytes()}, nil
 }
 
 // ToSnapshot returns the snapshot in m. The error is NotValid if the body cannot be
@@ -79,11 +79,11 @@
 	if err := proto.Unmarshal(data, body); err != nil {
 		return directory.Snapshot{}, errors.NewNotValid(err, "directory snapshot")
 	}
-	c := directory.Snapshot{Revision: carawaycart.StoreRevision(m.GetAtRevision()), Items: ToItems(body.GetItems()), Keys: body.GetKeys()}
+	s := directory.Snapshot{Revision: carawaycart.StoreRevision(m.GetAtRevision()), Items: ToItems(body.GetItems()), Keys: body.GetKeys()}
 	for _, e := range body.GetEnded() {
-		c.Ended = append(c.Ended, carawaycart.LifetimeKey{
+		s.Ended = append(s.Ended, carawaycart.LifetimeKey{
 			ID: carawaycart.EndpointID(e.GetId()), StartedAt: carawaycart.UnixMillis(e.GetBornMs()),
 		})
 	}
-	return c, nil
+	return s, nil
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -346,7 +346,7 @@
 		active.Go(func() {
 			stop := make(chan struct{})
 			if !plannedFaults[f.name] {
-				go r.suspendBoundsUntil(stop)
+				go r.suspendTimeLimitsUntil(stop)
 			}
 			f.inject(r, p, h, span)
 			close(stop)
@@ -360,8 +360,8 @@
 	active.Wait()
 }
 
-// suspendBoundsUntil suspends the time limits of guarantees until stop is closed.
-func (r *run) suspendBoundsUntil(stop <-chan struct{}) {
+// suspendTimeLimitsUntil suspends the time limits of guarantees until stop is closed.
+func (r *run) suspendTimeLimitsUntil(stop <-chan struct{}) {
 	for {
 		r.RecordDisturbance()
 		select {
