--- a/core/board/board.go
+++ b/core/board/board.go
@@ -157,7 +157,7 @@
 
 // rebuildMembers replaces the view of the fleet. Instances of zones that are out
 // are ineligible. Instances of zones that returned to service are first replicas
-// only. The caller holds the lock, unless the board is not shared yet.
+// only. b.mu must be held, unless the board is not shared yet.
 func (b *Board) rebuildMembers() {
 	zones := map[carawaycart.ZoneID]carawaycart.Zone{}
 	if v := b.View(); v != nil {
--- a/core/board/board_test.go
+++ b/core/board/board_test.go
@@ -80,10 +80,10 @@
 		})
 	}
 	b.SetMembers(members)
-	check := func(when string, ready, total int) {
+	check := func(when string, candidates, total int) {
 		t.Helper()
-		if v := b.Members(); len(v.KeeperCandidates()) != ready || v.Len() != total {
-			t.Errorf("%s: got %d of %d instances that can be keeper, want %d of %d", when, len(v.KeeperCandidates()), v.Len(), ready, total)
+		if v := b.Members(); len(v.KeeperCandidates()) != candidates || v.Len() != total {
+			t.Errorf("%s: got %d of %d instances that can be keeper, want %d of %d", when, len(v.KeeperCandidates()), v.Len(), candidates, total)
 		}
 	}
 	check("in service", 8, 8)
--- a/core/board/doc.go
+++ b/core/board/doc.go
@@ -4,7 +4,7 @@
 // shared Board.
 //
 // A revision of the configuration takes effect in three steps, because instances
-// receive it at different times. On arrival, the instance rejects new work where
+// receive it at different times. On arrival, the instance refuses new work where
 // the revision requires it. After activationDelay, when every instance has the
 // revision, packets follow its slot tables. After stabilityDelay, when every
 // instance follows these tables, new flows may be opened under it; until then a
--- a/core/board/entry.go
+++ b/core/board/entry.go
@@ -104,8 +104,7 @@
 	return true
 }
 
-// setStatus replaces the status and updates the digest; the caller holds the
-// lock.
+// setStatus replaces the status and updates the digest; e.mu must be held.
 func (e *Entry) setStatus(s carawaycart.EndpointStatus) {
 	e.digest.Add(hashStatus(s) - hashStatus(e.status))
 	e.status = s
--- a/core/claim/table.go
+++ b/core/claim/table.go
@@ -65,7 +65,7 @@
 }
 
 // Begin records attempt c at the keeper of its key at now. With Run, the claim is
-// stored as pending and returned; a repeated call for a pending attempt returns Run
+// stored as pending and returned; a retried call for a pending attempt returns Run
 // again. With Known, the stored claim of an earlier attempt is returned. With any
 // other verdict nothing is stored and the zero claim is returned. An attempt whose
 // stored claim is not run is refused until its deadline.
@@ -86,7 +86,7 @@
 		}
 		if held.Attempt == c.Attempt {
 			// Replicas may still receive the update that this attempt is not run, which
-			// would replace the claim of a repeated run.
+			// would replace the claim of a retried run.
 			return Refused, carawaycart.Claim{}
 		}
 	} else if t.uncertain(c.Key, now) {
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -44,7 +44,7 @@
 		{"earlier attempt answered", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimAnswered)}, attempt("b"), 0, claim.Known},
 		{"earlier attempt unknown", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimUnknown)}, attempt("b"), 0, claim.Known},
 		{"earlier attempt not run", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimNotRun)}, attempt("b"), 0, claim.Run},
-		{"repeat of an attempt that was not run", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimNotRun)}, attempt("a"), 0, claim.Refused},
+		{"retry of an attempt that was not run", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimNotRun)}, attempt("a"), 0, claim.Refused},
 		{"key of a different request", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimAnswered)}, other, 0, claim.Misused},
 		{"claim past its deadline", []carawaycart.Claim{withState(attempt("a"), carawaycart.ClaimAnswered)}, attempt("b"), time.Hour, claim.Run},
 	} {
--- a/core/config/apply.go
+++ b/core/config/apply.go
@@ -84,13 +84,13 @@
 	case carawaycart.KindBundle:
 		return c.applyBundle(change)
 	case carawaycart.KindSettle:
-		return c.applySettlement(change)
+		return c.applyBaseReplacement(change)
 	}
 	return errors.NotValidf("object kind %q", change.Kind)
 }
 
 // Bundle is the After value of a change of kind bundle, which creates or replaces
-// several objects, or none if one of them is rejected. The slots of a new service
+// several objects, or none if one of them is refused. The slots of a new service
 // are divided among all its endpoints in the bundle, so the base of every slot is
 // its current endpoint. Endpoints added in separate changes would leave slots whose
 // base is an earlier endpoint.
@@ -139,7 +139,7 @@
 }
 
 // ApplyOrSkip returns the configuration that results from applying change to c. If
-// Apply rejects change, ApplyOrSkip returns the objects of c with the revision and
+// Apply refuses change, ApplyOrSkip returns the objects of c with the revision and
 // ID of change, and the error of Apply, so that all instances skip the change alike.
 // It returns nil and an error if the revision of change is not the next one.
 func (c *Configuration) ApplyOrSkip(change carawaycart.Change) (*Configuration, error) {
@@ -290,9 +290,9 @@
 	return nil
 }
 
-func (c *Configuration) applySettlement(change carawaycart.Change) error {
-	var s BaseReplacement
-	if _, err := decode(change, &s); err != nil {
+func (c *Configuration) applyBaseReplacement(change carawaycart.Change) error {
+	var r BaseReplacement
+	if _, err := decode(change, &r); err != nil {
 		return err
 	}
 	id := carawaycart.ServiceID(change.Name)
@@ -301,7 +301,7 @@
 		return errors.NotFoundf("service %s", id)
 	}
 	cloneOnce(&c.Slots, &c.applyState.slots)
-	for _, m := range s.Moves {
+	for _, m := range r.Moves {
 		t = slot.ReplaceBase(t, m.Base, m.Current, m.Slots)
 	}
 	c.Slots[id] = t
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -20,7 +20,7 @@
 	Endpoints   map[carawaycart.EndpointID]carawaycart.Endpoint    `json:"endpoints"`
 	Zones       map[carawaycart.ZoneID]carawaycart.Zone            `json:"zones"`
 	Slots       map[carawaycart.ServiceID]carawaycart.SlotTable    `json:"slots"`
-	endpointIDs map[carawaycart.ServiceID][]carawaycart.EndpointID // sorted IDs of the endpoints of each service
+	endpointIDs map[carawaycart.ServiceID][]carawaycart.EndpointID // sorted IDs by service
 	applyState  *applyState                                        // nil except during Apply
 }
 
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -179,10 +179,10 @@
 	}
 	bad := config.Bundle{Zones: []carawaycart.Zone{{ID: "c"}}, Endpoints: []carawaycart.Endpoint{endpoint("e3", "nowhere")}}
 	if n, err := apply(c, carawaycart.KindBundle, "site", bad); n != nil || !errors.Is(err, errors.NotFound) {
-		t.Errorf("got %v, %v; want a bundle with an invalid object rejected as a whole", n, err)
+		t.Errorf("got %v, %v; want a bundle with an invalid object refused as a whole", n, err)
 	}
 	if _, ok := c.Zones["c"]; ok {
-		t.Error("an object of a rejected bundle was added")
+		t.Error("an object of a refused bundle was added")
 	}
 }
 
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// intRange is the value of a field in JSON, with the inclusive bounds of that value.
+// intRange is the value of a field in JSON, with the inclusive limits of that value.
 type intRange struct {
 	field    string
 	value    int
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -166,11 +166,11 @@
 	if ok && stored.item.Revision >= i.Revision {
 		return false
 	}
-	record, err := d.decode(i)
+	decoded, err := d.decode(i)
 	if err != nil {
 		d.decodeFailures++
 	}
-	d.items[i.Key] = entry{item: i, decoded: record}
+	d.items[i.Key] = entry{item: i, decoded: decoded}
 	return true
 }
 
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -15,7 +15,7 @@
 )
 
 // decodeZone decodes each item as a zone that is out, named KEY=VALUE, and
-// rejects the value "bad".
+// returns an error for the value "bad".
 func decodeZone(i carawaycart.StoreItem) (carawaycart.DecodedItem, error) {
 	if string(i.Value) == "bad" {
 		return carawaycart.DecodedItem{}, errors.New("bad")
--- a/core/directory/lifetime_tracker.go
+++ b/core/directory/lifetime_tracker.go
@@ -20,8 +20,8 @@
 
 const (
 	// lapsedGrace is how long the tracker waits for a lapsed entry to reappear
-	// before the lifetime counts as ended. The platform promises that this takes
-	// about 2 s.
+	// before the lifetime counts as ended. The platform guarantees that this
+	// takes about 2 s.
 	lapsedGrace = 2500 * time.Millisecond
 	// failureWindow is how long after a store failure an entry that disappears
 	// counts as lapsed instead of ended.
--- a/core/limit/doc.go
+++ b/core/limit/doc.go
@@ -3,8 +3,8 @@
 // A Limiter limits one endpoint. It exists only at the keeper, the one instance
 // that admits new flows and requests to that endpoint, so that its limits hold for
 // the sum over all instances. It counts the flows that it has admitted since the
-// last load report in addition to the reported ones, and makes the endpoint silent
-// or dead when reports are missing.
+// last load report in addition to the reported ones, and marks the endpoint as
+// silent or dead when reports are missing.
 //
 // A cold endpoint gets at most as many new flows in total as its profile allows,
 // its cold allowance. When it reports that it is warm, that limit grows linearly by
--- a/core/limit/limiter_test.go
+++ b/core/limit/limiter_test.go
@@ -130,10 +130,10 @@
 		now  time.Duration
 		want bool
 	}{
-		{"first slot", "p1", 0, true},
-		{"second slot", "p2", 0, true},
-		{"third permit for two slots", "p3", 0, false},
-		{"repeat of a granted permit", "p1", 0, true},
+		{"first request slot", "p1", 0, true},
+		{"second request slot", "p2", 0, true},
+		{"third permit for two request slots", "p3", 0, false},
+		{"retry of a granted permit", "p1", 0, true},
 		{"after the deadline of the other permits", "p4", time.Second, true},
 	} {
 		if got := l.AcquirePermit(test.id, "i1", deadline, start.Add(test.now)); got != test.want {
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -70,8 +70,8 @@
 	t.publishSelf()
 }
 
-// publishSelf queues self as an update under the next incarnation; the caller
-// holds the lock.
+// publishSelf queues self as an update under the next incarnation; t.mu must
+// be held.
 func (t *Table) publishSelf() {
 	t.self.Incarnation++
 	t.entries[t.self.ID].member = t.self
@@ -107,7 +107,7 @@
 }
 
 // mergeSelf begins a new incarnation and returns true if m, an update about the
-// instance itself, overrides its own state; the caller holds the lock.
+// instance itself, overrides its own state; t.mu must be held.
 func (t *Table) mergeSelf(m carawaycart.Member) bool {
 	if !overrides(m, t.self) {
 		return false
--- a/core/member/table_test.go
+++ b/core/member/table_test.go
@@ -183,9 +183,9 @@
 		}
 	}
 	for _, test := range []struct {
-		name         string
-		eligibility  func(carawaycart.ZoneID) member.Eligibility
-		ready, total int
+		name              string
+		eligibility       func(carawaycart.ZoneID) member.Eligibility
+		candidates, total int
 	}{
 		{"zone in service", eligible(member.KeeperEligible), 12, 12},
 		{"zone returned to service", eligible(member.ReplicaEligible), 9, 12},
@@ -193,8 +193,8 @@
 		{"all zones out", func(carawaycart.ZoneID) member.Eligibility { return member.Ineligible }, 12, 12},
 	} {
 		v := member.NewView(twelveMembers(), test.eligibility)
-		if len(v.KeeperCandidates()) != test.ready || v.Len() != test.total {
-			t.Errorf("%s: got %d of %d instances that can be keeper, want %d of %d", test.name, len(v.KeeperCandidates()), v.Len(), test.ready, test.total)
+		if len(v.KeeperCandidates()) != test.candidates || v.Len() != test.total {
+			t.Errorf("%s: got %d of %d instances that can be keeper, want %d of %d", test.name, len(v.KeeperCandidates()), v.Len(), test.candidates, test.total)
 		}
 	}
 }
--- a/core/slot/table.go
+++ b/core/slot/table.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// minSlots and maxSlots bound the number of slots of a service.
+	// minSlots and maxSlots limit the number of slots of a service.
 	minSlots = 64
 	maxSlots = 1 << 15
 
--- a/core/steer/admission.go
+++ b/core/steer/admission.go
@@ -52,12 +52,12 @@
 	// acknowledgementDelay.
 	slowBaselinePercent = 140
 	lateBaselinePercent = 200
-	// acknowledgementDelay bounds the time between an answer and its acknowledgement,
+	// acknowledgementDelay limits the time between an answer and its acknowledgement,
 	// which is what an instance observes: Linux delays acknowledgements by 40 ms, and
 	// a round trip is added.
 	acknowledgementDelay = 50 * time.Millisecond
 
-	// maxUrgentRefusedShare bounds the refused share of the most urgent class. The
+	// maxUrgentRefusedShare limits the refused share of the most urgent class. The
 	// end of an overload can only be detected from the answers to admitted flows.
 	maxUrgentRefusedShare = 0.95
 	refusalPeriod         = time.Second // time for which the hashFraction of a caller stays the same
@@ -149,7 +149,7 @@
 }
 
 // class returns the class with the given priority and adds it if it is new. The
-// pointer is valid until the next class is added. The caller holds mu.
+// pointer is valid until the next class is added. a.mu must be held.
 func (a *Admission) class(priority int) *class {
 	i, ok := slices.BinarySearchFunc(a.classes, priority, func(c class, p int) int { return cmp.Compare(p, c.priority) })
 	if !ok {
@@ -231,7 +231,7 @@
 }
 
 // closeWindows ends the windows that are due at now, and adjusts the shares of refused
-// flows by the shares of bad answers in them. The caller holds mu.
+// flows by the shares of bad answers in them. a.mu must be held.
 func (a *Admission) closeWindows(now time.Time) {
 	if late, ended := a.late.finish(now, lateWindow, minLateAnswers); ended {
 		if late > lateShare {
--- a/core/steer/admission_test.go
+++ b/core/steer/admission_test.go
@@ -162,10 +162,10 @@
 	}
 }
 
-// queue models the endpoints of a service: slots that process requests in order of
-// arrival. It rejects a request that would have to wait longer than maxWait.
+// queue models the endpoints of a service: request slots that process requests in
+// order of arrival. It rejects a request that would have to wait longer than maxWait.
 type queue struct {
-	freeAt  finishTimes // when each slot becomes free
+	freeAt  finishTimes // when each request slot becomes free
 	maxWait time.Duration
 }
 
@@ -196,8 +196,8 @@
 	priority             int
 }
 
-// replayBurst sends requests to 28 slots for 6 s: orders of value 2 and feeds of value
-// 1, each on a new flow. The load is a multiple of the capacity of the slots, and
+// replayBurst sends requests to 28 request slots for 6 s: orders of value 2 and feeds of
+// value 1, each on a new flow. The load is a multiple of the capacity of the slots, and
 // control tells whether an Admission may refuse flows. It returns the share of the
 // value that is answered within its target.
 func replayBurst(load float64, control bool) float64 {
@@ -209,7 +209,9 @@
 		orderTarget = 200 * time.Millisecond
 		orderShare  = 0.22
 		span        = 6 * time.Second
-		queueLimit  = 170 * time.Millisecond // about the time for 8 queued requests at 2 slots, whose times vary
+		// queueLimit is about the time for 8 queued requests at 2 request slots, whose
+		// times vary.
+		queueLimit = 170 * time.Millisecond
 	)
 	perSecond := load * slots / ((1-orderShare)*feedWork.Seconds() + orderShare*orderWork.Seconds())
 	random := rand.New(rand.NewPCG(7, 7))
@@ -302,8 +304,8 @@
 // arrive on new flows. Each of several instances sees a part of the callers.
 //
 // It returns the share of the value that is answered within its target during 6 s of
-// burst times the normal load, which occupies 47% of the slots. The argument control
-// tells whether flows may be refused.
+// burst times the normal load, which occupies 47% of the request slots. The argument
+// control tells whether flows may be refused.
 func replayLongFlows(burst float64, control bool) float64 {
 	const (
 		instances, slots        = 14, 28
@@ -312,7 +314,8 @@
 		feedTarget, orderTarget = 150 * time.Millisecond, 200 * time.Millisecond
 		feedAckDelay, roundTrip = 46 * time.Millisecond, 6 * time.Millisecond
 		queueLimit              = 130 * time.Millisecond
-		begin, end, sendPeriod  = 4000, 10000, 1000 // start and end of the burst and period of a feed's requests, in milliseconds
+		// Start and end of the burst and period of a feed's requests, in milliseconds.
+		begin, end, sendPeriod = 4000, 10000, 1000
 	)
 	l := &longFlows{
 		random: rand.New(rand.NewPCG(5, 5)), queue: &queue{freeAt: make(finishTimes, slots), maxWait: queueLimit}, due: make(map[int][]func(time.Time)),
--- a/core/steer/candidate.go
+++ b/core/steer/candidate.go
@@ -18,9 +18,9 @@
 }
 
 // Weights of the terms of a candidate's cost. The unit of cost is one outstanding
-// request per slot.
+// request per request slot.
 const (
-	openWeight    = 0.08 // for each open flow per slot, since it sends a request from time to time
+	openWeight    = 0.08 // for each open flow per request slot, since it sends a request from time to time
 	remoteWeight  = 0.6  // for an endpoint in another zone, since traffic between zones has a cost
 	coldWeight    = 0.5  // for a cold endpoint, which is slower than others
 	failingWeight = 4    // for a failing endpoint: losing part of the requests is as bad as a queue of this length
--- a/core/steer/candidate_test.go
+++ b/core/steer/candidate_test.go
@@ -64,8 +64,8 @@
 		candidates[steer.Choose(candidates, random.IntN)].Open++
 	}
 	most := slices.MaxFunc(candidates, func(a, b steer.Candidate) int { return a.Open - b.Open }).Open
-	if bound := 110; most > bound {
-		t.Errorf("got %d flows at the busiest of 14 endpoints, want at most %d with a mean of 100", most, bound)
+	if limit := 110; most > limit {
+		t.Errorf("got %d flows at the busiest of 14 endpoints, want at most %d with a mean of 100", most, limit)
 	}
 }
 
--- a/core/steer/doc.go
+++ b/core/steer/doc.go
@@ -13,5 +13,6 @@
 //
 // The records that an instance keeps of flows are used only to place or refuse new
 // flows and to detect silent endpoints: they show which endpoints answer, how fast,
-// and how many requests are outstanding at each. Open flows go on if they are lost.
+// and how many requests are outstanding at each. Loss of the
+// records does not affect open flows.
 package steer
--- a/core/steer/flows.go
+++ b/core/steer/flows.go
@@ -12,7 +12,7 @@
 const (
 	flowShardBits = 4                  // binary logarithm of flowShards
 	flowShards    = 1 << flowShardBits // number of shards of a flowTable
-	// maxShardFlows bounds the flows that a shard tracks. Flows beyond it are
+	// maxShardFlows limits the flows that a shard tracks. Flows beyond it are
 	// forwarded without a record.
 	maxShardFlows   = 8192
 	flowIdleTimeout = 15 * time.Second // time without packets after which the record of a flow may be removed
@@ -88,7 +88,8 @@
 
 // lockShard locks and returns the shard of id.
 func (t *flowTable) lockShard(id flowID) *flowShard {
-	const multiplier = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio, as in Knuth, "The Art of Computer Programming", 6.4
+	// 2^64 divided by the golden ratio, as in Knuth, "The Art of Computer Programming", 6.4.
+	const multiplier = 0x9e3779b97f4a7c15
 	s := &t.shards[uint64(id.caller)*multiplier>>(64-flowShardBits)]
 	s.mu.Lock()
 	return s
@@ -96,7 +97,7 @@
 
 // insert adds f at now. It returns false, without adding f, if the shard holds
 // maxShardFlows that are not idle. It first removes idle flows, at most once every
-// sweepPeriod unless the shard is full. The caller holds mu.
+// sweepPeriod unless the shard is full. s.mu must be held.
 func (s *flowShard) insert(id flowID, f *flow, now time.Time) bool {
 	if !now.Before(s.nextSweep) || len(s.flows) >= maxShardFlows {
 		s.nextSweep = now.Add(sweepPeriod)
@@ -113,8 +114,8 @@
 	return true
 }
 
-// remove deletes f and subtracts it from the counts of its endpoint. The caller holds
-// mu.
+// remove deletes f and subtracts it from the counts of its endpoint. s.mu must
+// be held.
 func (s *flowShard) remove(id flowID, f *flow) {
 	delete(s.flows, id)
 	f.endpoint.state.adjustCounts(-boolToInt(f.phase == phaseOpening), -boolToInt(f.waiting && !f.abandoned), -boolToInt(f.phase == phaseOpen && !f.abandoned))
--- a/core/steer/outcomes.go
+++ b/core/steer/outcomes.go
@@ -13,16 +13,20 @@
 	// maxFailureShare is the share of failed requests above which an endpoint is
 	// failing. A queue that is full by chance fails a smaller share.
 	maxFailureShare = 0.3
-	// maxPeerFailures bounds the failures that are merged from one report of a
+	// maxPeerFailures limits the failures that are merged from one report of a
 	// peer. It is below minFailures, so that a report alone cannot make an endpoint
 	// count as failing.
 	maxPeerFailures     = 1
 	outcomeReportPeriod = 300 * time.Millisecond // minimum time between reports to peers
-	maxPendingRequests  = 4096                   // bounds the requests that are tracked until their answer timeout
-	abandonTimeout      = 3 * time.Second        // time from the answer timeout until a request counts as abandoned by its caller
+	// maxPendingRequests limits the requests that are tracked until their answer
+	// timeout.
+	maxPendingRequests = 4096
+	// abandonTimeout is the time from the answer timeout until a request counts as
+	// abandoned by its caller.
+	abandonTimeout = 3 * time.Second
 )
 
-// Bounds of the timeout for answers to requests, and its value before the first answer.
+// Limits of the timeout for answers to requests, and its value before the first answer.
 // Requests take longer than first packets, and their processing times vary widely.
 const (
 	minAnswerTimeout     = 150 * time.Millisecond
--- a/core/steer/router.go
+++ b/core/steer/router.go
@@ -16,7 +16,7 @@
 	// Callers resend after 200 ms; earlier repetitions are duplicates made by the
 	// network.
 	minResendInterval = 150 * time.Millisecond
-	// maxFirstPacketEndpoints bounds the endpoints that a first packet is sent to
+	// maxFirstPacketEndpoints limits the endpoints that a first packet is sent to
 	// before the caller resends it.
 	maxFirstPacketEndpoints = 3
 )
@@ -29,7 +29,8 @@
 	// a flow, also if the packet was sent to other endpoints before.
 	Placed(key *carawaycart.FlowKey, e carawaycart.EndpointID, c *Candidate, p Placement)
 	// Refused is called when a packet is not forwarded because of c. The flow is reset
-	// if reset is true. The revision is that of the table, zero if it is not complete.
+	// if reset is true. The revision is that of the table, zero if it has no
+	// routing configuration.
 	Refused(p *carawaycart.Packet, c carawaycart.Cause, reset bool, revision carawaycart.StoreRevision)
 	// Avoided is called when an endpoint is avoided for period because it did not
 	// answer a packet. The packet is a first packet if what is "first", or data if what
@@ -61,12 +62,15 @@
 	mu               sync.Mutex // guards the fields below
 	random           *rand.Rand
 	candidates       []Candidate                              // buffer that is reused between placements
-	timeoutEstimator map[carawaycart.ZoneID]*timeoutEstimator // answer times of first packets, by zone of the endpoint
-	slow             []pending                                // tracked requests, nearly ordered by the time when they become slow
-	pending          []pending                                // tracked requests, nearly ordered by the time when they fail
-	abandoned        []pending                                // failed requests, ordered by the time when they are abandoned
-	unreported       map[carawaycart.Token]*state             // states of the endpoints whose outcomes are to be reported
-	reportedAt       time.Time                                // when outcomes were last reported
+	timeoutEstimator map[carawaycart.ZoneID]*timeoutEstimator // for first packets, by zone of the endpoint
+	// slow and pending hold the tracked requests, nearly ordered by the time when they
+	// become slow and when they fail. The queue abandoned holds the failed requests,
+	// ordered by the time when they are abandoned.
+	slow       []pending
+	pending    []pending
+	abandoned  []pending
+	unreported map[carawaycart.Token]*state // states of the endpoints whose outcomes are to be reported
+	reportedAt time.Time                    // when outcomes were last reported
 }
 
 // NewRouter returns a router without a table for an instance in zone. It draws random
@@ -84,8 +88,8 @@
 // Table returns the current table, or nil if none was set.
 func (r *Router) Table() *Table { return r.table.Load() }
 
-// Decide returns the decision for packet p at now. Without a complete table it drops
-// all packets. It resets a flow that sends data to a silent endpoint only if the
+// Decide returns the decision for packet p at now. Without a routing configuration it
+// drops all packets. It resets a flow that sends data to a silent endpoint only if the
 // requests of the route may run more than once, since a reset does not tell the caller
 // whether its request was run.
 func (r *Router) Decide(p *carawaycart.Packet, now time.Time) carawaycart.Decision {
@@ -186,8 +190,8 @@
 	return r.estimatorFor(zone).timeout(initialFirstPacketTimeout, minFirstPacketTimeout, maxFirstPacketTimeout)
 }
 
-// estimatorFor returns the estimator for zone and adds it if there is none. The caller
-// holds mu.
+// estimatorFor returns the estimator for zone and adds it if there is none. r.mu must
+// be held.
 func (r *Router) estimatorFor(zone carawaycart.ZoneID) *timeoutEstimator {
 	e := r.timeoutEstimator[zone]
 	if e == nil {
@@ -273,10 +277,14 @@
 
 // Placement describes the circumstances under which an endpoint was chosen for a flow.
 type Placement struct {
-	Retransmissions int                       // number of times that the caller had sent the first packet before; zero for a hedge
-	EndpointsTried  int                       // number of times that the first packet was sent to an endpoint before
-	Candidates      int                       // number of endpoints to choose from, including excluded ones
-	Revision        carawaycart.StoreRevision // revision of the table
+	// Retransmissions is the number of times that the caller had sent the first packet
+	// before. It is zero for a hedge.
+	Retransmissions int
+	// EndpointsTried is the number of times that the first packet was sent to an
+	// endpoint before.
+	EndpointsTried int
+	Candidates     int                       // number of endpoints to choose from, including excluded ones
+	Revision       carawaycart.StoreRevision // revision of the table
 }
 
 // routeTarget returns a random target of t, chosen by weight among those that have
--- a/core/steer/table.go
+++ b/core/steer/table.go
@@ -46,7 +46,7 @@
 	answerTarget time.Duration // time within which a request should be answered
 }
 
-// ColdLimits bound the new flows per second that a cold endpoint gets from all
+// ColdLimits limits the new flows per second that a cold endpoint gets from all
 // instances together: to ColdOverrun times the rate that it can bear, plus
 // ColdSlack.
 type ColdLimits struct {
@@ -56,7 +56,9 @@
 
 // Input is the data that a Table is built from.
 type Input struct {
-	Contents  directory.Contents         // routing configuration, instances and zones out, as read from the store
+	// Contents holds the routing configuration, instances and zones out, as read from
+	// the store.
+	Contents  directory.Contents
 	Revision  carawaycart.StoreRevision  // revision of Contents
 	Lifetimes *directory.LifetimeTracker // lifetimes, including lapsed and ended ones
 	Self      carawaycart.InstanceID     // instance that the table is built for
--- a/core/steer/timeout.go
+++ b/core/steer/timeout.go
@@ -30,7 +30,7 @@
 	e.deviation += (max(difference, -difference) - e.deviation) / deviationDivisor
 }
 
-// timeout returns the estimated timeout, bounded by low and high, or initial without
+// timeout returns the estimated timeout, limited to low and high, or initial without
 // samples.
 func (e *timeoutEstimator) timeout(initial, low, high time.Duration) time.Duration {
 	if e.mean == 0 {
--- a/core/steer/token.go
+++ b/core/steer/token.go
@@ -10,7 +10,7 @@
 	"carawaycart"
 )
 
-// maxDerivations bounds the tokens that are derived for one lifetime. With 21,000
+// maxDerivations limits the tokens that are derived for one lifetime. With 21,000
 // lifetimes, a third one is needed about once in 10^10 days.
 const maxDerivations = 4
 
--- a/internal/configtest/configtest.go
+++ b/internal/configtest/configtest.go
@@ -9,7 +9,7 @@
 )
 
 // MustPut returns the configuration that results from setting the object of the given
-// kind and name in c. It fails the test immediately if the change is rejected.
+// kind and name in c. It fails the test immediately if the change is refused.
 func MustPut(tb testing.TB, c *config.Configuration, kind carawaycart.ObjectKind, name string, object any) *config.Configuration {
 	tb.Helper()
 	after, err := json.Marshal(object)
