--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -114,15 +114,13 @@
 
 func tcpAddress(l net.Listener) netip.AddrPort { return l.Addr().(*net.TCPAddr).AddrPort() }
 
-// Ready reports whether the instance has joined the fleet and taken up its
-// duties.
+// Ready reports whether the instance has joined the fleet and is not leaving it.
 func (b *Balancer) Ready() bool {
 	return b.controllers.Explainer.Status().State == carawaycart.MemberReady.String()
 }
 
-// Stop shuts the instance down gracefully: it hands over its duties, finishes
-// the running requests, and closes. Requests still running when ctx ends are
-// aborted.
+// Stop shuts the instance down gracefully: it leaves the fleet, finishes the
+// running requests, and closes. Requests still running when ctx ends are aborted.
 func (b *Balancer) Stop(ctx context.Context) error {
 	klog.InfoS("stopping", "instance", b.Board.Self)
 	left := make(chan struct{})
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -175,7 +175,7 @@
 				t.Errorf("body %q: got %s for %s, want unknown for endpointLost", body, outcome, cause)
 			}
 			if outcome, cause, _ := r.send("POST", "broken"+body, body); outcome != "unknown" || cause != "earlierAttempt" {
-				t.Errorf("body %q: repeat: got %s for %s, want unknown for earlierAttempt", body, outcome, cause)
+				t.Errorf("body %q: retry: got %s for %s, want unknown for earlierAttempt", body, outcome, cause)
 			}
 			if n := r.runs.Load() - before; n != 1 {
 				t.Errorf("body %q: got %d runs, want 1", body, n)
@@ -183,7 +183,7 @@
 		}
 	})
 
-	t.Run("a keyed request that the endpoint did not run may be repeated", func(t *testing.T) {
+	t.Run("a keyed request that the endpoint did not run may be retried", func(t *testing.T) {
 		r.setHandler(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(endpoint.NotRunHeader, "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -194,7 +194,7 @@
 		time.Sleep(1100 * time.Millisecond) // an endpoint that shed a request gets none for 1 s
 		r.setHandler(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "confirmed") })
 		if outcome, cause, _ := r.send("POST", "shed", "a"); outcome != "answered" {
-			t.Errorf("repeat: got %s for %s, want answered", outcome, cause)
+			t.Errorf("retry: got %s for %s, want answered", outcome, cause)
 		}
 	})
 
--- a/internal/control/claimer.go
+++ b/internal/control/claimer.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	// claimTimeout bounds a Begin or Finish call to the keeper of a key.
+	// claimTimeout limits a Begin or Finish call to the keeper of a key.
 	claimTimeout = time.Second
 	// claimPollPeriod is the period of polling the claim of an earlier attempt that
 	// is pending.
 	claimPollPeriod = 50 * time.Millisecond
 	// sweepPeriod is the period of removing expired claims and updating those whose
-	// entry failed.
+	// entry instance failed.
 	sweepPeriod = time.Second
 	// finishAttempts is the number of times that Finish tries to reach a keeper.
 	finishAttempts = 5
 )
 
-// Claimer makes claims, the records of keyed requests, both as the entry of a
-// request and as the keeper of its key.
+// Claimer makes claims, the records of keyed requests, both as the entry
+// instance of a request and as the keeper of its key.
 type Claimer struct {
 	board       *board.Board
 	memberTable *member.Table
@@ -52,7 +52,7 @@
 func (cl *Claimer) Close() { cl.tasks.Close() }
 
 // sweep removes expired claims and marks the pending claims of attempts whose
-// entry is dead or has left as unknown.
+// entry instance is dead or has left as unknown.
 func (cl *Claimer) sweep() {
 	cl.claims.Expire(cl.clock.Now())
 	departed := make(map[carawaycart.InstanceID]bool)
@@ -221,7 +221,7 @@
 
 // Finish reports the outcome of an attempt, the state of c, to the keeper of its
 // key. It tries up to finishAttempts times, because the keeper may be changing,
-// and then gives up.
+// and then stops trying.
 func (cl *Claimer) Finish(c carawaycart.Claim) {
 	cl.claims.Merge(c, cl.clock.Now())
 	for range finishAttempts {
--- a/internal/control/configurer.go
+++ b/internal/control/configurer.go
@@ -22,16 +22,16 @@
 const (
 	// watchersPerZone is the number of instances in a zone that watch the store.
 	watchersPerZone = 2
-	// maxRecentChanges bounds the recent changes that peers can fetch one by one, and
+	// maxRecentChanges limits the recent changes that peers can fetch one by one, and
 	// those that wait for an earlier change.
 	maxRecentChanges = 512
 	// retryDelay is the delay before a failed call to the store or to the keeper of
-	// a key is repeated, and before an instance that watches no store checks again
+	// a key is retried, and before an instance that watches no store checks again
 	// whether it should.
 	retryDelay = 500 * time.Millisecond
-	// watchTimeout bounds one wait for a change in the store.
+	// watchTimeout limits one wait for a change in the store.
 	watchTimeout = 35 * time.Second
-	// pullTimeout bounds a Pull call to a peer, and loading from the store.
+	// pullTimeout limits a Pull call to a peer, and loading from the store.
 	pullTimeout = 2 * time.Second
 )
 
@@ -121,7 +121,7 @@
 	cf.install(c, now)
 }
 
-// install makes c the current configuration. The caller holds cf.mu.
+// install makes c the current configuration. cf.mu must be held.
 func (cf *Configurer) install(c *config.Configuration, now time.Time) {
 	cf.current = c
 	cf.board.SetConfig(c, now)
@@ -150,8 +150,8 @@
 		c, err := cf.current.ApplyOrSkip(next)
 		if err != nil {
 			cf.counters.ChangesRefused.Inc(1)
-			// Next returns the configuration with a new revision, so that all instances
-			// skip the same change.
+			// ApplyOrSkip returns the configuration with a new revision, so that all
+			// instances skip the same change.
 			klog.ErrorS(err, "change refused; only the revision advances", "instance", cf.board.Self, "revision", next.Revision, "change", next.ID)
 		}
 		cf.install(c, now)
--- a/internal/control/dispatcher.go
+++ b/internal/control/dispatcher.go
@@ -35,7 +35,7 @@
 	clock    carawaycart.Clock
 }
 
-// NewDispatcher returns a Dispatcher that claims keyed requests with o and
+// NewDispatcher returns a Dispatcher that claims keyed requests with cl and
 // sends requests with s.
 func NewDispatcher(b *board.Board, cl *Claimer, s *Sender, c *counters.Counters, k carawaycart.Clock) *Dispatcher {
 	return &Dispatcher{board: b, claimer: cl, sender: s, counters: c, clock: k}
@@ -196,7 +196,7 @@
 
 // claim returns a pending claim for j. Its digest covers the method, URI and
 // body, so that reuse of the key for another request is detected. Its deadline
-// allows repeats for AnswerSeconds after the deadline of j.
+// allows retries for AnswerSeconds after the deadline of j.
 func (d *Dispatcher) claim(j *job) carawaycart.Claim {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(j.request.Method + " " + j.request.URL.RequestURI() + "\n")
@@ -208,7 +208,7 @@
 	}
 }
 
-// writeKnown answers a repeat from the claim of the earlier attempt. An answer
+// writeKnown answers a retry from the claim of the earlier attempt. An answer
 // with status zero was too large to be stored.
 func (d *Dispatcher) writeKnown(w http.ResponseWriter, c carawaycart.Claim) {
 	if c.State != carawaycart.ClaimAnswered {
@@ -225,7 +225,7 @@
 
 // runKeyed sends a claimed request and reports its outcome to the keeper of the
 // key. It continues if the caller disconnects, because the answer is stored for
-// a repeat.
+// a retry.
 func (d *Dispatcher) runKeyed(ctx context.Context, w http.ResponseWriter, j *job, c carawaycart.Claim) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), j.deadline)
 	defer cancel()
@@ -251,7 +251,7 @@
 	c.State = carawaycart.ClaimAnswered
 	c.Answer = answer
 	if len(answer.Body) > maxStoredAnswer {
-		c.Answer = carawaycart.Answer{} // tells a repeat that the answer is not stored
+		c.Answer = carawaycart.Answer{} // marks the answer as too large to be stored
 	}
 	go d.claimer.Finish(c)
 	d.counters.RequestsAnswered.Inc(1)
@@ -272,7 +272,7 @@
 	request  *http.Request
 	params   caller.RequestParams
 	route    *board.ServiceRoute
-	deadline time.Time     // of the answer
+	deadline time.Time     // deadline of the answer
 	buffered []byte        // the whole body, which can be resent
 	body     io.ReadCloser // the streamed body, nil if it is buffered
 }
--- a/internal/control/disseminator.go
+++ b/internal/control/disseminator.go
@@ -19,7 +19,7 @@
 const (
 	// batchDelay is the time in which updates are collected into one message.
 	batchDelay = 20 * time.Millisecond
-	// exchangeTimeout bounds an Exchange call, which carries a probe or updates.
+	// exchangeTimeout limits an Exchange call, which carries a probe or updates.
 	exchangeTimeout = 400 * time.Millisecond
 )
 
@@ -83,7 +83,7 @@
 // queuedUpdate is an update with the peer that sent it, or the empty ID if none
 // did. It is not sent back to that peer.
 type queuedUpdate[T any] struct {
-	update T // the update
+	update T
 	from   carawaycart.InstanceID
 }
 
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -19,6 +19,6 @@
 //
 // The keeper of an endpoint or of a key is the instance that decides for it; its
 // replicas hold copies of the same state. The holders are the keeper and the
-// replicas. The entry of a request is the instance that received it from its
-// caller.
+// replicas. The entry instance of a request is the instance that received it
+// from its caller.
 package control
--- a/internal/control/endpoint_monitor.go
+++ b/internal/control/endpoint_monitor.go
@@ -21,7 +21,7 @@
 	monitorPeriod = 200 * time.Millisecond
 	// reportPeriod is the period of fetching the load report of an endpoint.
 	reportPeriod = 500 * time.Millisecond
-	// reportFetchTimeout bounds the fetching of one report.
+	// reportFetchTimeout limits the fetching of one report.
 	reportFetchTimeout = 400 * time.Millisecond
 )
 
--- a/internal/control/endpoint_monitor_test.go
+++ b/internal/control/endpoint_monitor_test.go
@@ -74,7 +74,7 @@
 		view := b.View()
 		got := retention(view, currentEndpoint(view, record), b.Members(), "i1", record)
 		if got.NoIdleTimeout != test.hold || (got == flow.Retention{}) != test.dropped {
-			t.Errorf("%s: got %+v, want hold %t, dropped %t", test.name, got, test.hold, test.dropped)
+			t.Errorf("%s: got %+v, want NoIdleTimeout %t, dropped %t", test.name, got, test.hold, test.dropped)
 		}
 	}
 }
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -22,8 +22,8 @@
 	tickPeriod = 100 * time.Millisecond
 	// probePeriod is the period of probing one neighbour.
 	probePeriod = 400 * time.Millisecond
-	// maxPause is the longest time between ticks after which the instance keeps its
-	// duties; after a longer one peers may have taken them over.
+	// maxPause is the longest time between ticks after which the instance may still
+	// make decisions; after a longer one peers may have replaced it.
 	maxPause = time.Second
 	// joinReplicationDelay is the time after which all peers know a joining instance
 	// and replicate new state to it.
@@ -34,7 +34,7 @@
 	// listPeriod is the period of reading the instance list. While the instance
 	// joins, each try reads it too.
 	listPeriod = 20 * time.Second
-	// listCallTimeout bounds one reading of the instance list.
+	// listCallTimeout limits one reading of the instance list.
 	listCallTimeout = 2 * time.Second
 	// selfListingTimeout is the time after which the instance joins although the
 	// instance list does not contain it.
@@ -114,8 +114,9 @@
 	m.disseminator.Wake()
 }
 
-// rejoin gives up all duties after a pause. The instance forwards nothing until
-// it has pulled the current state from a peer, which the join goroutine does.
+// rejoin makes the instance join the fleet again after a pause. It forwards
+// nothing until it has pulled the current state from a peer, which the join
+// goroutine does.
 func (m *Membership) rejoin() {
 	klog.InfoS("instance was paused too long; rejoining the fleet", "instance", m.board.Self)
 	m.counters.Rejoins.Inc(1)
@@ -186,7 +187,7 @@
 }
 
 // joinOnce fetches members, configuration, records and claims. It reports
-// whether the instance may take up its duties.
+// whether the instance may become ready.
 func (m *Membership) joinOnce(ctx context.Context) bool {
 	if !m.discover(ctx) && m.clock.Now().Before(m.selfListingDeadline) {
 		return false
@@ -287,8 +288,9 @@
 	return answered || !asked
 }
 
-// Leave hands over the duties of the instance and notifies the peers that it
-// left. The instance continues to forward packets until it is closed.
+// Leave copies the records and claims of the instance to their new holders and
+// notifies the peers that it left. The instance continues to forward packets until
+// it is closed.
 func (m *Membership) Leave(ctx context.Context) {
 	m.joining.Store(false)
 	m.memberTable.SetState(carawaycart.MemberLeft)
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// acquireTimeout bounds an Acquire or Release call to a keeper.
+	// acquireTimeout limits an Acquire or Release call to a keeper.
 	acquireTimeout = 300 * time.Millisecond
 	// reregisterPeriod is the period of checking whether keepers changed.
 	reregisterPeriod = 200 * time.Millisecond
--- a/internal/control/reconciler.go
+++ b/internal/control/reconciler.go
@@ -19,7 +19,7 @@
 	// reconcilePeriod is the period of comparing the configuration with what the
 	// instance observes.
 	reconcilePeriod = 2 * time.Second
-	// appendTimeout bounds the appending of one change to the change log.
+	// appendTimeout limits the appending of one change to the change log.
 	appendTimeout = 5 * time.Second
 )
 
--- a/internal/control/replicator.go
+++ b/internal/control/replicator.go
@@ -23,7 +23,7 @@
 	flushPeriod = 2 * time.Millisecond
 	// repairPeriod is the period of checking whether holders changed.
 	repairPeriod = 100 * time.Millisecond
-	// copyTimeout bounds a Records or Copy call to a peer.
+	// copyTimeout limits a Records or Copy call to a peer.
 	copyTimeout = 500 * time.Millisecond
 	// lossWindow is the time in which claims of a lost holder are copied to new
 	// holders.
@@ -273,8 +273,8 @@
 	re.claims.RecordLoss(before, lost, now.Add(uncertaintyPeriod))
 }
 
-// failed returns the instances that are suspect or dead and thus did not hand
-// over their duties.
+// failed returns the instances that are suspect or dead and thus did not copy
+// their records and claims to new holders.
 func (re *Replicator) failed() map[carawaycart.InstanceID]bool {
 	failed := make(map[carawaycart.InstanceID]bool)
 	for _, m := range re.memberTable.Members() {
--- a/internal/control/sender.go
+++ b/internal/control/sender.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// backoffMin and backoffMax bound the random pause before the endpoints of a
+	// backoffMin and backoffMax limit the random pause before the endpoints of a
 	// service are asked for a permit again.
 	backoffMin = 5 * time.Millisecond
 	backoffMax = 25 * time.Millisecond
@@ -75,9 +75,9 @@
 	}
 }
 
-// acquirePermit returns a permit of an endpoint that accepts requests, or nil if none
-// has a free request slot before queueEnd. It skips the endpoints in failed in
-// the first round, and then clears failed.
+// acquirePermit returns a permit of an endpoint that accepts requests, or nil if
+// none has a free request slot before queueEnd. It skips the endpoints in failed
+// in the first round, and then clears failed.
 func (s *Sender) acquirePermit(ctx context.Context, j *job, failed map[carawaycart.EndpointID]bool, queueEnd time.Time) *Permit {
 	for {
 		for _, e := range s.candidates(j.route, failed) {
--- a/internal/control/update_receiver.go
+++ b/internal/control/update_receiver.go
@@ -20,7 +20,7 @@
 	clock        carawaycart.Clock
 }
 
-// NewUpdateReceiver returns an UpdateReceiver that relays updates through s.
+// NewUpdateReceiver returns an UpdateReceiver that relays updates through d.
 func NewUpdateReceiver(b *board.Board, t *member.Table, d *Disseminator, f *Configurer, c *counters.Counters, k carawaycart.Clock) *UpdateReceiver {
 	return &UpdateReceiver{board: b, memberTable: t, disseminator: d, configurer: f, counters: c, clock: k}
 }
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -13,37 +13,37 @@
 type Counters struct {
 	Registry metrics.Registry
 
-	PacketsForwarded metrics.Counter // to endpoints
-	PacketsRelayed   metrics.Counter // to peers
+	PacketsForwarded metrics.Counter // packets forwarded to endpoints
+	PacketsRelayed   metrics.Counter // packets relayed to peers
 	FlowsRecorded    metrics.Counter // flows that this instance recorded as keeper
-	RecordsLost      metrics.Counter // copies that a replica did not receive
+	RecordsLost      metrics.Counter // copies of records and notices of ended flows that did not arrive
 	StoreCalls       metrics.Counter // calls to the platform's store
-	ControlBytes     metrics.Counter // sent to peers to maintain the fleet's state
-	RequestBytes     metrics.Counter // sent to peers on behalf of requests
+	ControlBytes     metrics.Counter // bytes sent to peers to maintain the fleet's state
+	RequestBytes     metrics.Counter // bytes sent to peers on behalf of requests
 	ProbesFailed     metrics.Counter // probes and updates that a peer did not answer
 	ChangesApplied   metrics.Counter // changes of the change log, including the refused
 	ChangesRefused   metrics.Counter // changes that are invalid and were skipped
 	MessagesRefused  metrics.Counter // malformed messages from peers
 	Rejoins          metrics.Counter // pauses after which the instance rejoined the fleet
 
-	RequestsAnswered  metrics.Counter // by an endpoint or with a stored answer
-	RequestsNotRun    metrics.Counter // certainly not run
-	RequestsUnknown   metrics.Counter // may have run
-	RequestsMisused   metrics.Counter // reused the key of another request
-	RequestsMalformed metrics.Counter // malformed, too large, cut off, or to an unknown service
+	RequestsAnswered  metrics.Counter // requests answered by an endpoint or with a stored answer
+	RequestsNotRun    metrics.Counter // requests certainly not run, except misused and malformed ones
+	RequestsUnknown   metrics.Counter // requests that may have run
+	RequestsMisused   metrics.Counter // requests with the key of another request
+	RequestsMalformed metrics.Counter // requests malformed, too large, cut off, or to unknown services
 	RequestsRetried   metrics.Counter // retries sent
 
 	// Endpoints that the instance is keeper of.
-	EndpointsSilent metrics.Gauge // stopped reporting, which raises an alarm
-	EndpointsCold   metrics.Gauge // cold or unknown
-	EndpointsDead   metrics.Gauge // refuse connections
-	EndpointsKept   metrics.Gauge // in any state
+	EndpointsSilent metrics.Gauge // endpoints that stopped reporting load, which raises an alarm
+	EndpointsCold   metrics.Gauge // endpoints in state cold or unknown
+	EndpointsDead   metrics.Gauge // endpoints that refuse connections
+	EndpointsKept   metrics.Gauge // endpoints in any state
 
-	MembersReady metrics.Gauge
+	MembersReady metrics.Gauge // instances that can be keepers
 	SlotsDirty   metrics.Gauge // slots whose base differs from the current endpoint
 	Records      metrics.Gauge // flow records held
 	Claims       metrics.Gauge // claims held
-	Revision     metrics.Gauge // of the configuration
+	Revision     metrics.Gauge // revision of the configuration
 
 	dropped [carawaycart.CauseCount]metrics.Counter // packets by cause
 	faults  [fabric.FaultCount]metrics.Counter      // datagrams by fault
--- a/internal/edge/counters.go
+++ b/internal/edge/counters.go
@@ -29,7 +29,7 @@
 	Avoided   metrics.Counter   // times an endpoint became avoided
 	Silenced  metrics.Counter   // times an endpoint became silent
 	Probes    metrics.Counter   // probes sent
-	PeerBytes metrics.Counter   // bytes of calls and replies to peers; updates sent as datagrams do not count
+	PeerBytes metrics.Counter   // bytes of calls and replies to peers, excluding datagrams
 	Latency   metrics.Histogram // decision latency in nanoseconds
 
 	dropped    [carawaycart.CauseCount]metrics.Counter // packets dropped
--- a/internal/edge/instance.go
+++ b/internal/edge/instance.go
@@ -33,7 +33,7 @@
 	unreadyNoticePeriod = 1200 * time.Millisecond
 
 	closeReserve   = 700 * time.Millisecond // part of the grace time reserved for Close
-	stopPollPeriod = 50 * time.Millisecond  // time between checks whether a stopping instance may close
+	stopPollPeriod = 50 * time.Millisecond  // period of checking whether the instance may close
 )
 
 // Instance is one running instance of the load balancer.
--- a/internal/edge/view.go
+++ b/internal/edge/view.go
@@ -125,7 +125,7 @@
 // recordRead records that the directory is complete up to a read of the store that
 // began at began. It rebuilds the router's table if the directory has changed, or
 // if a lifetime is lapsed, since it may end without such a change. The source is the
-// peer that sent the read, or "store". The caller holds mu.
+// peer that sent the read, or "store". v.mu must be held.
 func (v *View) recordRead(began time.Time, source string, changed bool) {
 	now := v.clock.Now()
 	if began.Sub(v.lastReadAt) > maxReadGap && !v.lastReadAt.IsZero() {
@@ -142,7 +142,7 @@
 }
 
 // rebuild replaces the router's table with one for the directory as of now. The
-// source of the change is only logged. The caller holds mu.
+// source of the change is only logged. v.mu must be held.
 func (v *View) rebuild(source string, now time.Time) {
 	v.contents = v.directory.Contents()
 	operatorConfig, err := loadOperatorConfig(v.directory, v.clock)
@@ -172,7 +172,7 @@
 	v.recordStoreFailure(when)
 }
 
-// recordStoreFailure is RecordStoreFailure for a caller that holds mu.
+// recordStoreFailure is like RecordStoreFailure, but v.mu must be held.
 func (v *View) recordStoreFailure(when time.Time) {
 	if when.After(v.storeFailure) {
 		v.storeFailure = when
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -72,7 +72,7 @@
 	l.done.Wait()
 }
 
-// flush writes the buffer to the writer. Lines that the writer rejects are lost,
+// flush writes the buffer to the writer. Lines that cannot be written are lost,
 // since there is no other place to report the error.
 func (l *Log) flush() {
 	l.mu.Lock()
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -37,7 +37,7 @@
 }
 
 // A log consumer that stops reading must neither delay decisions nor let the
-// buffer grow without bound. Guards against events that wait for the writer.
+// buffer grow without limit. Guards against events that wait for the writer.
 func TestBlockedWriterDoesNotDelayCallers(t *testing.T) {
 	w := &blockedWriter{release: make(chan struct{})}
 	l := eventlog.New("a", w)
