--- a/cmd/carawaycart/standin.go
+++ b/cmd/carawaycart/standin.go
@@ -40,7 +40,7 @@
 		})
 }
 
-// runEnvironment runs the simulated environment until ctx is done and then prints a
+// runEnvironment runs the emulated environment until ctx is done and then prints a
 // report. It writes a settings file to dir for each instance, and prints the commands
 // that start the instances.
 func runEnvironment(ctx context.Context, site standin.Site, dir string, instances, port int, stdout io.Writer) error {
--- a/config.go
+++ b/config.go
@@ -9,12 +9,13 @@
 // Profile is a named set of limits and timeouts that is assigned to services.
 type Profile struct {
 	Name ProfileName `json:"name"`
-	// ColdFlows is the total number of new flows that an endpoint may receive while it is cold (see EndpointCold).
+	// ColdFlows is the total number of new flows that an endpoint may receive while it is
+	// cold (see EndpointCold).
 	ColdFlows int `json:"coldFlows"`
 	// ColdRequests is the number of requests that a cold endpoint may run concurrently.
 	ColdRequests int `json:"coldRequests"`
-	// WarmupSeconds is how long the limit on new flows rises after an endpoint reports that it is no longer
-	// cold; zero lifts the limit immediately.
+	// WarmupSeconds is how long the limit on new flows rises after an endpoint reports that
+	// it is no longer cold; zero lifts the limit immediately.
 	WarmupSeconds Seconds `json:"warmupSeconds"`
 	// DrainSeconds is how long the flows of a leaving endpoint may continue.
 	DrainSeconds Seconds `json:"drainSeconds"`
@@ -26,7 +27,8 @@
 	QueueSeconds Seconds `json:"queueSeconds"`
 	// RetryPercent is the number of retries allowed per 100 new requests.
 	RetryPercent int `json:"retryPercent"`
-	// AnswerSeconds is how long the answer to a keyed request is retained after the deadline of the request.
+	// AnswerSeconds is how long the answer to a keyed request is retained after the
+	// deadline of the request.
 	AnswerSeconds Seconds `json:"answerSeconds"`
 }
 
@@ -56,11 +58,12 @@
 	Service        ServiceID      `json:"service"`
 	Zone           ZoneID         `json:"zone"`
 	FlowAddress    netip.AddrPort `json:"flowAddress"`    // destination of forwarded packets
-	RequestAddress netip.AddrPort `json:"requestAddress"` // destination of HTTP requests, also those for load reports
+	RequestAddress netip.AddrPort `json:"requestAddress"` // destination of requests, also for load reports
 	MaxFlows       int            `json:"flows"`          // maximum number of concurrent flows
 	RequestSlots   int            `json:"slots"`          // maximum number of concurrent requests
 	Mark           EndpointMark   `json:"mark,omitempty"`
-	DrainDeadline  time.Time      `json:"drainDeadline,omitzero"` // time at which a leaving or drained endpoint ends; zero means none
+	// DrainDeadline is the time at which a leaving or drained endpoint ends; zero means none.
+	DrainDeadline time.Time `json:"drainDeadline,omitzero"`
 }
 
 // Zone is an availability zone.
@@ -79,7 +82,8 @@
 	KindEndpoint ObjectKind = "endpoint"
 	KindZone     ObjectKind = "zone"
 	KindBundle   ObjectKind = "bundle" // several objects in one change
-	KindSettle   ObjectKind = "settle" // makes the current endpoint the base of slots whose base has no flows left
+	// KindSettle makes the current endpoint the base of slots whose base has no flows left.
+	KindSettle ObjectKind = "settle"
 )
 
 // Change is one entry of the change log, which is also the audit trail. It records
--- a/flow.go
+++ b/flow.go
@@ -98,7 +98,7 @@
 	VerdictDrop    Verdict = iota // discard and count the Cause
 	VerdictForward                // send to Endpoint
 	VerdictRelay                  // send to Instance, which must not relay it again
-	VerdictReset                  // answer the caller with a reset, which ends the flow; count the Cause
+	VerdictReset                  // answer with a reset, which ends the flow; count the Cause
 )
 
 // Cause is the reason why a packet was dropped or answered with a reset.
@@ -110,9 +110,9 @@
 	CauseUnknownService       // no service has the address
 	CauseNoEndpoint           // the service has no endpoint that may receive the flow
 	CauseNoKeeper             // the current endpoint of the slot has no keeper that can be reached
-	CauseNotKeeper            // relayed to an instance that is not the keeper of the slot's current endpoint
+	CauseNotKeeper            // relayed to an instance that does not keep the slot's current endpoint
 	CauseNoCapacity           // no endpoint of the service can admit the flow
-	CauseSpreading            // other instances may not know yet that packets of the slot must pass through its keeper
+	CauseSpreading            // other instances may not send the slot's packets through its keeper yet
 	CauseNotReady             // this instance has no configuration or may not decide yet
 	CauseNoRoute              // the configuration has no route for the address
 	CauseEnded                // the endpoint that owned the flow has ended
@@ -149,7 +149,7 @@
 
 	// The fields below are set only by formats whose packets carry a Token.
 
-	Token   Token          // to write into a first packet
+	Token   Token          // token to write into a first packet
 	Zone    ZoneID         // zone of Endpoint
 	Number  EndpointNumber // number of Endpoint
 	Address netip.AddrPort
--- a/interfaces.go
+++ b/interfaces.go
@@ -12,10 +12,10 @@
 	Now() time.Time
 }
 
-// StoreIndex orders the writes of the platform's store; zero means absent.
+// StoreIndex orders the writes of a Store; zero means absent.
 type StoreIndex uint64
 
-// StoreEntry is a key of the platform's store with its value.
+// StoreEntry is an entry of a Store: a key with its value.
 type StoreEntry struct {
 	Key   string     `json:"key"`
 	Value []byte     `json:"value"`
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -127,11 +127,11 @@
 	for _, s := range []standin.SiteService{site.Main, site.Intake} {
 		bundle.Services = append(bundle.Services, carawaycart.Service{ID: s.ID, Address: s.Address, Profile: demoProfile})
 		for i := range s.EndpointCount {
-			h, err := d.addEndpoint(s, i)
+			e, err := d.addEndpoint(s, i)
 			if err != nil {
 				return 0, err
 			}
-			bundle.Endpoints = append(bundle.Endpoints, h.Endpoint())
+			bundle.Endpoints = append(bundle.Endpoints, e.Endpoint())
 		}
 	}
 	c, err := d.admin.Put(ctx, carawaycart.KindBundle, site.Name, bundle)
@@ -197,7 +197,7 @@
 	}
 }
 
-// applyChange applies a configuration change and waits, for at most changeLimit,
+// applyChange applies a configuration change and waits, for at most changeTimeout,
 // until all instances have applied it. A change that takes longer is not an error
 // here; the report then contains the time waited. The function make submits the
 // change.
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -70,14 +70,14 @@
 
 // AddEndpoint starts an endpoint.
 func (f *Fleet) AddEndpoint(c standin.EndpointConfig) (*standin.EmulatedEndpoint, error) {
-	h, err := standin.NewEmulatedEndpoint(c, loopbackAnyPort, f.Ledger, f.Fabric)
+	e, err := standin.NewEmulatedEndpoint(c, loopbackAnyPort, f.Ledger, f.Fabric)
 	if err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.endpoints[c.ID] = h
-	return h, nil
+	f.endpoints[c.ID] = e
+	return e, nil
 }
 
 // Endpoints returns a copy of the map of endpoints.
@@ -85,8 +85,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	endpoints := make(map[carawaycart.EndpointID]*standin.EmulatedEndpoint, len(f.endpoints))
-	for id, h := range f.endpoints {
-		endpoints[id] = h
+	for id, e := range f.endpoints {
+		endpoints[id] = e
 	}
 	return endpoints
 }
@@ -96,8 +96,8 @@
 func (f *Fleet) ZoneOf(id carawaycart.EndpointID) carawaycart.ZoneID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if h := f.endpoints[id]; h != nil {
-		return h.Zone()
+	if e := f.endpoints[id]; e != nil {
+		return e.Zone()
 	}
 	return ""
 }
@@ -237,7 +237,7 @@
 	}
 }
 
-// measureLocked updates the meter of an instance. The caller holds f.mu.
+// measureLocked updates the meter of an instance. f.mu must be held.
 func (f *Fleet) measureLocked(id carawaycart.InstanceID, b *balancer.Balancer) {
 	m := f.meters[id]
 	m.bytes = b.Counters.ControlBytes.Count()
@@ -281,8 +281,8 @@
 		closing.Go(b.Kill)
 	}
 	closing.Wait()
-	for _, h := range f.Endpoints() {
-		h.Close()
+	for _, e := range f.Endpoints() {
+		e.Close()
 	}
 	f.Requests.Close()
 	f.Fabric.Close()
--- a/internal/demo/script.go
+++ b/internal/demo/script.go
@@ -42,8 +42,8 @@
 		return err
 	}
 	total, highest, endpoints := 0, 0, 0
-	for id, h := range d.fleet.Endpoints() {
-		if h.Endpoint().Service != d.options.Site.Main.ID {
+	for id, e := range d.fleet.Endpoints() {
+		if e.Endpoint().Service != d.options.Site.Main.ID {
 			continue
 		}
 		n := d.fleet.Endpoints()[id].Flows()
@@ -126,7 +126,7 @@
 }
 
 // storeOutage kills an instance during an outage of the store, unless an earlier
-// step has, and checks that a configuration change fails with an error.
+// step has killed it, and checks that a configuration change fails with an error.
 func (d *Demo) storeOutage(ctx context.Context) error {
 	d.fleet.Store.SetDown(true)
 	d.printProgress("the store is down")
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// zoneBack returns that zone to service.
+// zoneBack brings the zone that zoneToTakeOut returns back into service.
 func (d *Demo) zoneBack(ctx context.Context) error {
 	z := d.zoneToTakeOut()
 	err := d.applyChange(ctx, "zone "+string(z)+" is brought back", func() (carawaycart.Change, error) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,8 +16,8 @@
 	"carawaycart/core/config"
 )
 
-// Bounds of the settings [threads] fabric and [limits] graceSeconds, and the common
-// upper bound of [limits] coldOverrun and coldSlack.
+// Limits of the settings [threads] fabric and [limits] graceSeconds, and the common
+// upper limit of [limits] coldOverrun and coldSlack.
 const (
 	minThreads = 1
 	maxThreads = 64
@@ -31,12 +31,12 @@
 	ID              carawaycart.InstanceID
 	Zone            carawaycart.ZoneID
 	FabricAddress   netip.AddrPort   // UDP address for packets from the fabric
-	RequestAddress  netip.AddrPort   // TCP address for HTTP requests of callers; set only for FormatGeneve
+	RequestAddress  netip.AddrPort   // TCP address for callers' requests; set only for FormatGeneve
 	PeerAddress     netip.AddrPort   // TCP address for calls and UDP address for packets of peers
 	OperatorAddress netip.AddrPort   // TCP address for operators and metrics over HTTP
 	StoreURL        string           // URL of the platform's store
 	InstanceListURL string           // URL of the platform's instance list; set only for FormatGeneve
-	Seeds           []netip.AddrPort // peer addresses of instances through which this one joins the fleet
+	Seeds           []netip.AddrPort // peer addresses of instances through which this one joins
 	FabricThreads   int              // number of threads that forward packets
 
 	Format Format
@@ -45,9 +45,11 @@
 
 	ReadyAddress netip.AddrPort      // TCP address of the HTTP readiness check of the fabric
 	GraceSeconds carawaycart.Seconds // time from SIGTERM until the instance is killed
-	FirstStart   bool                // the whole fleet starts for the first time, so seeds get more time to answer
-	ColdOverrun  float64             // limit on the new flows per second of a cold endpoint, as a multiple of ServicePolicy.ColdRequestRate
-	ColdSlack    float64             // new flows per second added to that limit
+	FirstStart   bool                // first start of the whole fleet, so seeds get more time to answer
+	// The limit on the new flows per second of a cold endpoint is ColdOverrun times
+	// ServicePolicy.ColdRequestRate, plus ColdSlack.
+	ColdOverrun float64
+	ColdSlack   float64
 }
 
 // Format is the encapsulation of packets by the fabric.
@@ -56,7 +58,7 @@
 // The formats.
 const (
 	FormatGeneve Format = "geneve" // Geneve; the owner of a flow is found by its slot and record
-	FormatToken  Format = "token"  // format whose packets carry a token, which identifies the owner of a flow
+	FormatToken  Format = "token"  // packets carry a token, which identifies the owner of a flow
 )
 
 // Fault describes an error in a settings file.
@@ -280,7 +282,7 @@
 // Parse parses the contents of a settings file. Faults refer to the file by name.
 // The error is nil or a FaultsError.
 func Parse(name string, data []byte) (Settings, error) {
-	// AllowShadows retains the values of repeated keys, so that setField can reject them.
+	// AllowShadows retains the values of repeated keys, so that setField can report them.
 	file, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, IgnoreInlineComment: true}, data)
 	if err != nil {
 		return Settings{}, FaultsError{{File: name, Section: "", Problem: err.Error()}}
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,6 +1,6 @@
 // Package standin emulates the systems around a balancer instance: the
 // platform's store and instance list, the fabric, endpoints and callers. The
-// emulators run inside the process that drives them, speak the real protocols
+// emulators run inside the process that drives them, implement the real protocols
 // over loopback, and record the observed traffic in a Ledger.
 //
 // Flow callers open feeds, which are long-lived flows, or uploads, which are short
--- a/internal/standin/emulated_endpoint.go
+++ b/internal/standin/emulated_endpoint.go
@@ -40,7 +40,7 @@
 	ColdRequests   int // maximum number of concurrent requests while cold
 }
 
-// EmulatedEndpoint emulates an endpoint of a service. It rejects flows and requests
+// EmulatedEndpoint emulates an endpoint of a service. It refuses flows and requests
 // beyond its limits, which are lower while it is cold.
 type EmulatedEndpoint struct {
 	config     EndpointConfig
@@ -54,7 +54,7 @@
 	flows          map[netip.AddrPort]bool // established flows by caller
 	coldSince      time.Time
 	coldUntil      time.Time
-	coldFlows      int // flows requested since coldSince, including those rejected for the cold limit
+	coldFlows      int // flows requested since coldSince, including those refused for the cold limit
 	activeRequests int // requests in progress
 	reportsDown    bool
 	reportHook     func(*carawaycart.LoadReport) // alters load reports; nil if unset
@@ -86,85 +86,85 @@
 		_ = packetConn.Close()
 		return nil, errors.Annotatef(err, "listen for endpoint %s", c.ID)
 	}
-	h := &EmulatedEndpoint{
+	e := &EmulatedEndpoint{
 		config: c, ledger: l, fabric: f, packetConn: packetConn, http: listener,
 		flows: make(map[netip.AddrPort]bool), quit: make(chan struct{}),
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /load", h.handleLoad)
-	mux.HandleFunc("/", h.handleRequest)
-	h.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
-	h.done.Go(func() { _ = h.server.Serve(listener) })
-	h.done.Go(h.receive)
-	h.done.Go(h.sampleReports)
-	return h, nil
+	mux.HandleFunc("GET /load", e.handleLoad)
+	mux.HandleFunc("/", e.handleRequest)
+	e.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
+	e.done.Go(func() { _ = e.server.Serve(listener) })
+	e.done.Go(e.receive)
+	e.done.Go(e.sampleReports)
+	return e, nil
 }
 
 // Endpoint returns the configuration object that describes the endpoint.
-func (h *EmulatedEndpoint) Endpoint() carawaycart.Endpoint {
+func (e *EmulatedEndpoint) Endpoint() carawaycart.Endpoint {
 	return carawaycart.Endpoint{
-		ID: h.config.ID, Service: h.config.Service, Zone: h.config.Zone,
-		FlowAddress:    h.packetConn.LocalAddr().(*net.UDPAddr).AddrPort(),
-		RequestAddress: h.http.Addr().(*net.TCPAddr).AddrPort(),
-		MaxFlows:       h.config.MaxFlows, RequestSlots: h.config.RequestSlots,
+		ID: e.config.ID, Service: e.config.Service, Zone: e.config.Zone,
+		FlowAddress:    e.packetConn.LocalAddr().(*net.UDPAddr).AddrPort(),
+		RequestAddress: e.http.Addr().(*net.TCPAddr).AddrPort(),
+		MaxFlows:       e.config.MaxFlows, RequestSlots: e.config.RequestSlots,
 	}
 }
 
 // Close stops the endpoint and waits for its goroutines.
-func (h *EmulatedEndpoint) Close() {
-	close(h.quit)
-	_ = h.packetConn.Close()
-	_ = h.server.Close()
-	h.done.Wait()
+func (e *EmulatedEndpoint) Close() {
+	close(e.quit)
+	_ = e.packetConn.Close()
+	_ = e.server.Close()
+	e.done.Wait()
 }
 
 // SetCold makes the endpoint cold for d. Established flows continue.
-func (h *EmulatedEndpoint) SetCold(d time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.coldSince = time.Now()
-	h.coldUntil = h.coldSince.Add(d)
-	h.coldFlows = 0
+func (e *EmulatedEndpoint) SetCold(d time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.coldSince = time.Now()
+	e.coldUntil = e.coldSince.Add(d)
+	e.coldFlows = 0
 }
 
 // SetReportsDown starts or ends an outage of the endpoint's load reports.
-func (h *EmulatedEndpoint) SetReportsDown(reportsDown bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.reportsDown = reportsDown
+func (e *EmulatedEndpoint) SetReportsDown(reportsDown bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.reportsDown = reportsDown
 }
 
 // SetReportHook sets a function that alters each load report before it is sent.
 // A nil function removes the hook.
-func (h *EmulatedEndpoint) SetReportHook(change func(*carawaycart.LoadReport)) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.reportHook = change
+func (e *EmulatedEndpoint) SetReportHook(change func(*carawaycart.LoadReport)) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.reportHook = change
 }
 
 // Flows returns the number of established flows.
-func (h *EmulatedEndpoint) Flows() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.flows)
+func (e *EmulatedEndpoint) Flows() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return len(e.flows)
 }
 
 // Zone returns the availability zone of the endpoint.
-func (h *EmulatedEndpoint) Zone() carawaycart.ZoneID { return h.config.Zone }
+func (e *EmulatedEndpoint) Zone() carawaycart.ZoneID { return e.config.Zone }
 
-func (h *EmulatedEndpoint) cold(now time.Time) bool { return now.Before(h.coldUntil) }
+func (e *EmulatedEndpoint) cold(now time.Time) bool { return now.Before(e.coldUntil) }
 
 // coldKnown reports whether the endpoint has been cold for at least coldGrace, so
 // that every instance must have learned of it from the load reports.
-func (h *EmulatedEndpoint) coldKnown(now time.Time) bool {
-	return h.cold(now) && now.Sub(h.coldSince) >= coldGrace
+func (e *EmulatedEndpoint) coldKnown(now time.Time) bool {
+	return e.cold(now) && now.Sub(e.coldSince) >= coldGrace
 }
 
-func (h *EmulatedEndpoint) receive() {
+func (e *EmulatedEndpoint) receive() {
 	var d segmentDecoder
 	buffer := make([]byte, receiveBufferBytes)
 	for {
-		n, err := h.packetConn.Read(buffer)
+		n, err := e.packetConn.Read(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -175,101 +175,101 @@
 		if err != nil {
 			continue
 		}
-		h.handleSegment(&s, time.Now())
+		e.handleSegment(&s, time.Now())
 	}
 }
 
-func (h *EmulatedEndpoint) handleSegment(s *Segment, now time.Time) {
-	if s.Destination != h.config.ServiceAddress {
-		h.ledger.Update(func(t *Totals) { t.PacketsToWrongService++ })
+func (e *EmulatedEndpoint) handleSegment(s *Segment, now time.Time) {
+	if s.Destination != e.config.ServiceAddress {
+		e.ledger.Update(func(t *Totals) { t.PacketsToWrongService++ })
 		return
 	}
-	if h.ledger.pastCutoff(string(h.config.Zone), now) {
-		h.ledger.Update(func(t *Totals) { t.PacketsAfterZoneOut++ })
+	if e.ledger.pastCutoff(string(e.config.Zone), now) {
+		e.ledger.Update(func(t *Totals) { t.PacketsAfterZoneOut++ })
 	}
-	h.fabric.deliver(s.Source, h.processSegment(s, now))
+	e.fabric.deliver(s.Source, e.processSegment(s, now))
 }
 
 // processSegment applies a segment to the flow table and returns the reply for
 // the caller.
-func (h *EmulatedEndpoint) processSegment(s *Segment, now time.Time) reply {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	known := h.flows[s.Source]
+func (e *EmulatedEndpoint) processSegment(s *Segment, now time.Time) reply {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	known := e.flows[s.Source]
 	switch {
 	case s.SYN && !known:
-		if !h.openFlow(s.Source, now) {
-			return reply{endpoint: h.config.ID, rst: true}
+		if !e.openFlow(s.Source, now) {
+			return reply{endpoint: e.config.ID, rst: true}
 		}
-		return reply{endpoint: h.config.ID, syn: true}
+		return reply{endpoint: e.config.ID, syn: true}
 	case s.SYN:
-		return reply{endpoint: h.config.ID, syn: true}
+		return reply{endpoint: e.config.ID, syn: true}
 	case s.FIN || s.RST:
-		delete(h.flows, s.Source)
-		return reply{endpoint: h.config.ID, number: s.Number}
+		delete(e.flows, s.Source)
+		return reply{endpoint: e.config.ID, number: s.Number}
 	case !known:
-		return reply{endpoint: h.config.ID, rst: true}
+		return reply{endpoint: e.config.ID, rst: true}
 	}
-	return reply{endpoint: h.config.ID, number: s.Number}
+	return reply{endpoint: e.config.ID, number: s.Number}
 }
 
 // openFlow records a new flow and reports whether the limits permit it.
-func (h *EmulatedEndpoint) openFlow(caller netip.AddrPort, now time.Time) bool {
-	if h.ledger.pastCutoff(string(h.config.ID), now) {
-		h.ledger.Update(func(t *Totals) { t.WorkAfterLeave++ })
+func (e *EmulatedEndpoint) openFlow(caller netip.AddrPort, now time.Time) bool {
+	if e.ledger.pastCutoff(string(e.config.ID), now) {
+		e.ledger.Update(func(t *Totals) { t.WorkAfterLeave++ })
 	}
-	if len(h.flows) >= h.config.MaxFlows {
+	if len(e.flows) >= e.config.MaxFlows {
 		return false
 	}
-	if h.cold(now) {
-		h.coldFlows++
-		if h.coldFlows > h.config.ColdFlows {
-			if h.coldKnown(now) {
-				h.ledger.Update(func(t *Totals) { t.ColdOverload++ })
+	if e.cold(now) {
+		e.coldFlows++
+		if e.coldFlows > e.config.ColdFlows {
+			if e.coldKnown(now) {
+				e.ledger.Update(func(t *Totals) { t.ColdOverload++ })
 			}
 			return false
 		}
 	}
-	h.flows[caller] = true
+	e.flows[caller] = true
 	return true
 }
 
 // sampleReports samples the load every reportInterval and retains the samples for
 // reportDelay, so that reports arrive late as in a real system.
-func (h *EmulatedEndpoint) sampleReports() {
+func (e *EmulatedEndpoint) sampleReports() {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-h.quit:
+		case <-e.quit:
 			return
 		case now := <-ticker.C:
-			h.mu.Lock()
-			h.reports = append(h.reports, timedReport{
-				report: carawaycart.LoadReport{Flows: len(h.flows), Requests: h.activeRequests, Cold: h.cold(now)},
+			e.mu.Lock()
+			e.reports = append(e.reports, timedReport{
+				report: carawaycart.LoadReport{Flows: len(e.flows), Requests: e.activeRequests, Cold: e.cold(now)},
 				time:   now,
 			})
-			for len(h.reports) > 1 && now.Sub(h.reports[1].time) >= reportDelay {
-				h.reports = h.reports[1:]
+			for len(e.reports) > 1 && now.Sub(e.reports[1].time) >= reportDelay {
+				e.reports = e.reports[1:]
 			}
-			h.mu.Unlock()
+			e.mu.Unlock()
 		}
 	}
 }
 
 // handleLoad serves the delayed load report. Before the first sample the report has
 // no flows and requests.
-func (h *EmulatedEndpoint) handleLoad(w http.ResponseWriter, _ *http.Request) {
-	h.mu.Lock()
-	reportsDown := h.reportsDown
-	report := carawaycart.LoadReport{Cold: h.cold(time.Now())}
-	if len(h.reports) > 0 {
-		report = h.reports[0].report
+func (e *EmulatedEndpoint) handleLoad(w http.ResponseWriter, _ *http.Request) {
+	e.mu.Lock()
+	reportsDown := e.reportsDown
+	report := carawaycart.LoadReport{Cold: e.cold(time.Now())}
+	if len(e.reports) > 0 {
+		report = e.reports[0].report
 	}
-	if h.reportHook != nil {
-		h.reportHook(&report)
+	if e.reportHook != nil {
+		e.reportHook(&report)
 	}
-	h.mu.Unlock()
+	e.mu.Unlock()
 	if reportsDown {
 		http.Error(w, "silent", http.StatusServiceUnavailable)
 		return
@@ -288,29 +288,29 @@
 // handleRequest runs a request, or marks its response as not run if the endpoint
 // has no free slot or the caller's timeout is too short. A request for another
 // service is counted with the packets to a wrong service, and run.
-func (h *EmulatedEndpoint) handleRequest(w http.ResponseWriter, r *http.Request) {
+func (e *EmulatedEndpoint) handleRequest(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
-	if r.Host != string(h.config.Service) {
-		h.ledger.Update(func(t *Totals) { t.PacketsToWrongService++ })
+	if r.Host != string(e.config.Service) {
+		e.ledger.Update(func(t *Totals) { t.PacketsToWrongService++ })
 	}
-	if !h.withinTimeout(r) || !h.acquireSlot(now) {
+	if !e.withinTimeout(r) || !e.acquireSlot(now) {
 		w.Header().Set(endpoint.NotRunHeader, "1")
 		http.Error(w, "no room", http.StatusServiceUnavailable)
 		return
 	}
-	defer h.releaseSlot()
+	defer e.releaseSlot()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	key := carawaycart.IdempotencyKey(r.Header.Get(caller.IdempotencyKeyHeader))
 	if r.Method == http.MethodPost && key != "" {
-		h.ledger.recordRun(key)
+		e.ledger.recordRun(key)
 	}
 	if !simulateWork(r.Context()) {
 		return // the request was cancelled after it was recorded as run
 	}
-	answer := RequestAnswer{Key: key, Endpoint: h.config.ID, Size: len(body)}
+	answer := RequestAnswer{Key: key, Endpoint: e.config.ID, Size: len(body)}
 	data, err := json.Marshal(answer)
 	if err != nil {
 		return
@@ -323,7 +323,7 @@
 // withinTimeout reports whether the caller's timeout leaves enough time to run the
 // request. A request without a timeout passes; one whose timeout is not a number
 // does not.
-func (h *EmulatedEndpoint) withinTimeout(r *http.Request) bool {
+func (e *EmulatedEndpoint) withinTimeout(r *http.Request) bool {
 	text := r.Header.Get(caller.TimeoutHeader)
 	if text == "" {
 		return true
@@ -346,22 +346,22 @@
 
 // acquireSlot reserves a request slot. It returns false and counts a shed request
 // if no slot is free.
-func (h *EmulatedEndpoint) acquireSlot(now time.Time) bool {
-	if h.ledger.pastCutoff(string(h.config.ID), now) {
-		h.ledger.Update(func(t *Totals) { t.WorkAfterLeave++ })
+func (e *EmulatedEndpoint) acquireSlot(now time.Time) bool {
+	if e.ledger.pastCutoff(string(e.config.ID), now) {
+		e.ledger.Update(func(t *Totals) { t.WorkAfterLeave++ })
 	}
-	if h.ledger.pastCutoff(string(h.config.Zone), now) {
-		h.ledger.Update(func(t *Totals) { t.PacketsAfterZoneOut++ })
+	if e.ledger.pastCutoff(string(e.config.Zone), now) {
+		e.ledger.Update(func(t *Totals) { t.PacketsAfterZoneOut++ })
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	limit := h.config.RequestSlots
-	if h.cold(now) {
-		limit = min(limit, h.config.ColdRequests)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	limit := e.config.RequestSlots
+	if e.cold(now) {
+		limit = min(limit, e.config.ColdRequests)
 	}
-	if h.activeRequests >= limit {
-		overload := h.coldKnown(now)
-		h.ledger.Update(func(t *Totals) {
+	if e.activeRequests >= limit {
+		overload := e.coldKnown(now)
+		e.ledger.Update(func(t *Totals) {
 			t.RequestsShed++
 			if overload {
 				t.ColdOverload++
@@ -369,12 +369,12 @@
 		})
 		return false
 	}
-	h.activeRequests++
+	e.activeRequests++
 	return true
 }
 
-func (h *EmulatedEndpoint) releaseSlot() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.activeRequests--
+func (e *EmulatedEndpoint) releaseSlot() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.activeRequests--
 }
--- a/internal/standin/flowcaller.go
+++ b/internal/standin/flowcaller.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// exchange sends s, with exponential backoff up to maxTimeout, until a reply
+// exchange sends s, with exponential backoff up to maxRetransmitTimeout, until a reply
 // matches. It returns false on a reset, at the end of ctx, or after
 // maxSegmentAttempts transmissions.
 func (c *FlowCaller) exchange(ctx context.Context, s Segment, match func(reply) bool) (reply, bool) {
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -24,8 +24,8 @@
 	FlowsNotOpened        int `json:"flowsNotOpened"`
 	KeyedSent             int `json:"ordersSent"`
 	KeyedAnswered         int `json:"ordersConfirmed"`
-	KeyedNotRun           int `json:"ordersRefusedNotRun"` // not confirmed, without an attempt of unknown outcome
-	KeyedUnknown          int `json:"ordersUnknown"`       // not confirmed, with an attempt of unknown outcome
+	KeyedNotRun           int `json:"ordersRefusedNotRun"` // not answered, without an attempt of unknown outcome
+	KeyedUnknown          int `json:"ordersUnknown"`       // not answered, with an attempt of unknown outcome
 	KeyedRunTwice         int `json:"ordersRunTwice"`      // run more than once
 	FalseRefusals         int `json:"falseRefusals"`       // counted in KeyedNotRun, but run
 	AnswersCrossed        int `json:"answersCrossed"`      // answers to another keyed request
@@ -33,9 +33,9 @@
 	PacketsToWrongService int `json:"packetsToWrongService"` // packets and requests
 	PacketsAfterZoneOut   int `json:"packetsAfterZoneOut"`   // packets and requests after the cutoff of the zone
 	WorkAfterLeave        int `json:"workAfterLeave"`        // flows and requests after the cutoff of the endpoint
-	ColdOverload          int `json:"coldOverload"`          // rejected by endpoints that instances must know to be cold
+	ColdOverload          int `json:"coldOverload"`          // refused by endpoints that instances must know to be cold
 	RequestsCutByStop     int `json:"requestsCutByStop"`     // connections broken during a planned stop of the instance
-	RequestsShed          int `json:"requestsShed"`          // rejected by endpoints without a free slot
+	RequestsShed          int `json:"requestsShed"`          // refused by endpoints without a free slot
 }
 
 // NewLedger returns a ledger whose totals are zero.
--- a/internal/standin/segment.go
+++ b/internal/standin/segment.go
@@ -88,7 +88,7 @@
 type reply struct {
 	endpoint carawaycart.EndpointID
 	syn      bool   // the endpoint accepted the flow
-	rst      bool   // the endpoint rejected or does not know the flow
+	rst      bool   // the endpoint refused or does not know the flow
 	number   uint32 // Number of the acknowledged segment
 }
 
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -106,7 +106,7 @@
 	return s.calls, max(s.peakPerSecond, s.callsInSecond)
 }
 
-// notifyLocked wakes all blocking reads. The caller holds s.mu.
+// notifyLocked wakes all blocking reads. s.mu must be held.
 func (s *Store) notifyLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/lifetime.go
+++ b/lifetime.go
@@ -74,7 +74,7 @@
 
 // RouteConfig is one version of the routing configuration.
 type RouteConfig struct {
-	Version     uint64
+	Version     uint64 // version that the configuration item states; not a StoreRevision
 	Routes      []Route
 	Services    []ServicePolicy
 	IdleTimeout time.Duration // idle time after which a flow may be discarded
@@ -87,10 +87,12 @@
 	PeerAddress netip.AddrPort // TCP for calls, UDP for updates
 }
 
-// StoreRevision is the number of changes to the platform's store; zero means none.
+// StoreRevision is the number of changes to the platform's metadata store; zero means
+// none.
 type StoreRevision uint64
 
-// StoreItem is a key of the platform's store with the value last written to it.
+// StoreItem is an item of the platform's metadata store: a key with the value last
+// written to it.
 type StoreItem struct {
 	Key      string
 	Value    []byte
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -8,6 +8,6 @@
 // emulated platform compares the requests that endpoints executed with the answers
 // that callers received, and reports violated guarantees.
 //
-//	go test ./soak                                         # the runs of TestRegressions
+//	go test ./soak                                         # all tests but the long runs
 //	go test ./soak -run Long -seed 7 -runs 50 -faults 60   # long runs, started by hand
 package soak
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -100,8 +100,8 @@
 	events          []string   // descriptions of the injected faults
 }
 
-// newRun starts a platform and its instances and waits until all instances are in
-// rotation.
+// newRun starts a platform and its instances and waits until all instances are
+// ready.
 func newRun(t *testing.T, seed uint64) *run {
 	t.Helper()
 	r := &run{t: t, random: rand.New(rand.NewPCG(seed, 0)), binary: buildBinary(t)}
@@ -120,7 +120,7 @@
 			r.addInstance(zone, n)
 		}
 	}
-	r.await("all instances are in rotation", func() bool { return site.Routers.ReadyCount() == len(r.processes) })
+	r.await("all instances are ready", func() bool { return site.Routers.ReadyCount() == len(r.processes) })
 	return r
 }
 
@@ -224,10 +224,10 @@
 }
 
 // fault is a kind of fault. The function inject applies it to the process p or the
-// endpoint h, for about span, and returns when the fault is over.
+// endpoint e, for about span, and returns when the fault is over.
 type fault struct {
 	name   string
-	inject func(r *run, p *process, h *standin.Endpoint, span time.Duration)
+	inject func(r *run, p *process, e *standin.Endpoint, span time.Duration)
 }
 
 // allFaults lists the kinds of faults. A seed selects faults by index, so that a
@@ -262,35 +262,35 @@
 		time.Sleep(span)
 		p.store.setMode(modeForward)
 	}},
-	{"path to an endpoint", func(r *run, _ *process, h *standin.Endpoint, span time.Duration) {
+	{"path to an endpoint", func(r *run, _ *process, e *standin.Endpoint, span time.Duration) {
 		for i := range r.Endpoints {
-			if r.Endpoints[i] == h {
+			if r.Endpoints[i] == e {
 				r.endpointProxies[i].setMode(mode(1 + r.randomInt(int(modeCount)-1)))
 				time.Sleep(span)
 				r.endpointProxies[i].setMode(modeForward)
 			}
 		}
 	}},
-	{"endpoint silent, flows lost", func(_ *run, _ *process, h *standin.Endpoint, span time.Duration) {
-		h.SetCondition(standin.Crashed)
+	{"endpoint silent, flows lost", func(_ *run, _ *process, e *standin.Endpoint, span time.Duration) {
+		e.SetCondition(standin.Crashed)
 		time.Sleep(span)
-		h.SetCondition(standin.Healthy)
+		e.SetCondition(standin.Healthy)
 	}},
-	{"endpoint silent, flows kept", func(_ *run, _ *process, h *standin.Endpoint, span time.Duration) {
-		h.SetCondition(standin.Partitioned)
+	{"endpoint silent, flows kept", func(_ *run, _ *process, e *standin.Endpoint, span time.Duration) {
+		e.SetCondition(standin.Partitioned)
 		time.Sleep(span)
-		h.SetCondition(standin.Healthy)
+		e.SetCondition(standin.Healthy)
 	}},
-	{"endpoint drains", func(r *run, _ *process, h *standin.Endpoint, span time.Duration) {
-		r.Drain(h)
+	{"endpoint drains", func(r *run, _ *process, e *standin.Endpoint, span time.Duration) {
+		r.Drain(e)
 		time.Sleep(standin.DrainTimeLimit + span)
-		h.ForbidNewFlows(time.Time{})
-		h.SetCondition(standin.Healthy)
+		e.ForbidNewFlows(time.Time{})
+		e.SetCondition(standin.Healthy)
 	}},
-	{"zone out", func(r *run, _ *process, h *standin.Endpoint, span time.Duration) {
-		r.SetZoneInService(h.Zone, false)
+	{"zone out", func(r *run, _ *process, e *standin.Endpoint, span time.Duration) {
+		r.SetZoneInService(e.Zone, false)
 		time.Sleep(standin.EvacuationTimeLimit + span)
-		r.SetZoneInService(h.Zone, true)
+		r.SetZoneInService(e.Zone, true)
 	}},
 	{"configuration", func(r *run, _ *process, _ *standin.Endpoint, _ time.Duration) {
 		if err := r.Configure(true); err != nil {
@@ -331,10 +331,10 @@
 	for range n {
 		f := allFaults[r.random.IntN(len(allFaults))]
 		p := r.processes[r.random.IntN(len(r.processes))]
-		h := r.Endpoints[r.random.IntN(len(r.Endpoints))]
+		e := r.Endpoints[r.random.IntN(len(r.Endpoints))]
 		span := time.Duration(200+r.random.IntN(3800)) * time.Millisecond
 		pause := time.Duration(r.random.IntN(1500)) * time.Millisecond
-		keys := []any{p, h}
+		keys := []any{p, e}
 		if f.name == "store" || f.name == "zone out" {
 			keys = []any{f.name}
 		}
@@ -342,13 +342,13 @@
 		if !reserve(keys...) {
 			continue
 		}
-		r.events = append(r.events, fmt.Sprintf("%s %s: %s %s for %v", time.Now().Format("15:04:05.000"), f.name, p.machine.InstanceID, h.ID, span))
+		r.events = append(r.events, fmt.Sprintf("%s %s: %s %s for %v", time.Now().Format("15:04:05.000"), f.name, p.machine.InstanceID, e.ID, span))
 		active.Go(func() {
 			stop := make(chan struct{})
 			if !plannedFaults[f.name] {
 				go r.suspendTimeLimitsUntil(stop)
 			}
-			f.inject(r, p, h, span)
+			f.inject(r, p, e, span)
 			close(stop)
 			mu.Lock()
 			defer mu.Unlock()
@@ -374,11 +374,11 @@
 }
 
 // checkRecovery checks a run after its last fault and stops its load. It fails the
-// test unless all instances return to rotation, the next finalRequests requests are
+// test unless all instances become ready again, the next finalRequests requests are
 // answered, and no guarantee was violated.
 func (r *run) checkRecovery() {
 	r.t.Helper()
-	r.await("all instances are back in rotation", func() bool { return r.Routers.ReadyCount() == len(r.processes) })
+	r.await("all instances are ready again", func() bool { return r.Routers.ReadyCount() == len(r.processes) })
 	r.await("time limits are in force again", r.Stable)
 	total, unanswered := r.Ledger.Total(), r.Ledger.Total()-r.Ledger.Answered
 	r.await("requests are served again", func() bool { return r.Ledger.Total() >= total+finalRequests })
@@ -401,7 +401,7 @@
 }
 
 // TestRegressions guards against violated guarantees, unanswered requests and
-// instances that do not return to rotation under overlapping faults. It repeats the
+// instances that do not become ready again under overlapping faults. It performs the
 // runs listed in regressions.
 func TestRegressions(t *testing.T) {
 	for _, c := range regressions {
@@ -438,8 +438,8 @@
 	r.Store.SetFault("", standin.FaultStale)
 	// Drain all endpoints: a single one may receive no new flow if it holds a feed
 	// and the others are idle.
-	for _, h := range r.Endpoints {
-		r.Drain(h)
+	for _, e := range r.Endpoints {
+		r.Drain(e)
 	}
 	r.await("the ledger reports a violated guarantee", func() bool { return len(r.Ledger.Violations()) > 0 })
 	r.t.Log(r.Ledger.Violations()[0])
--- a/status.go
+++ b/status.go
@@ -15,7 +15,7 @@
 	MemberJoining MemberState = iota // alive, still receiving state from its peers
 	MemberReady                      // alive and able to make forwarding decisions
 	MemberSuspect                    // did not answer probes; not yet declared failed
-	MemberLeft                       // stopped as planned
+	MemberLeft                       // shut down gracefully
 	MemberDead                       // declared failed
 )
 
@@ -46,7 +46,7 @@
 const (
 	EndpointUnknown EndpointState = iota // no report yet; treated as cold
 	EndpointOpen                         // receives new flows and requests
-	EndpointCold                         // reports that it cannot serve its full load yet; receives only what its profile allows
+	EndpointCold                         // reports that it cannot serve its full load yet; limited by its profile
 	EndpointFull                         // reports that it is at its flow limit or shedding
 	EndpointSilent                       // has stopped answering requests for load reports
 	EndpointDead                         // refuses connections
