--- a/io/caller/outcome.go
+++ b/io/caller/outcome.go
@@ -23,17 +23,19 @@
 const (
 	CauseMalformed       Cause = "malformed"       // invalid method or header
 	CauseUnknownService  Cause = "unknownService"  // no service has the host name of the request
-	CauseKeyMisused      Cause = "keyMisused"      // the idempotency key was used for a different request
+	CauseKeyMisused      Cause = "keyMisused"      // the key was used for a different request
 	CauseTooLarge        Cause = "tooLarge"        // the body exceeds the limit
 	CauseBodyCutOff      Cause = "bodyCutOff"      // the body could not be read completely
 	CauseNotReady        Cause = "notReady"        // the instance has no configuration
 	CauseNoRoom          Cause = "noRoom"          // no endpoint had a free request slot in time
 	CauseClaimRefused    Cause = "claimRefused"    // no instance could record the claim
 	CauseEndpointRefused Cause = "endpointRefused" // endpoints refused the connection or the request
-	CauseEndpointLost    Cause = "endpointLost"    // the connection failed or timed out after the request may have been sent
-	CauseEarlierAttempt  Cause = "earlierAttempt"  // the outcome of an earlier attempt with the key is unknown
-	CauseClaimsLost      Cause = "claimsLost"      // the claim of an earlier attempt may be lost
-	CauseAnswerNotKept   Cause = "answerNotKept"   // the answer to an earlier attempt was too large to be stored
+	// CauseEndpointLost means that the connection failed or timed out after the request
+	// may have been sent.
+	CauseEndpointLost   Cause = "endpointLost"
+	CauseEarlierAttempt Cause = "earlierAttempt" // the outcome of an earlier attempt with the key is unknown
+	CauseClaimsLost     Cause = "claimsLost"     // the claim of an earlier attempt may be lost
+	CauseAnswerNotKept  Cause = "answerNotKept"  // the answer to an earlier attempt was too large to store
 )
 
 // causeStatus maps each cause to the HTTP status of the response.
--- a/io/caller/request_params.go
+++ b/io/caller/request_params.go
@@ -14,8 +14,8 @@
 // Headers of requests.
 const (
 	IdempotencyKeyHeader = "Idempotency-Key"
-	TimeoutHeader        = "Request-Timeout-Ms" // how long the caller waits for the answer, in milliseconds
-	RequestIDHeader      = "Request-Id"         // forwarded to the endpoint, or generated if the caller set none
+	TimeoutHeader        = "Request-Timeout-Ms" // time for which the caller waits, in milliseconds
+	RequestIDHeader      = "Request-Id"         // forwarded to the endpoint; generated if absent
 )
 
 const (
--- a/io/caller/request_params_test.go
+++ b/io/caller/request_params_test.go
@@ -15,7 +15,7 @@
 var arrival = time.Unix(1000, 0)
 
 // A request with a malformed or repeated header or an unsupported method must be
-// rejected, so that it is not forwarded with a wrong key or timeout.
+// refused, so that it is not forwarded with a wrong key or timeout.
 func TestParseRequest(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -39,9 +39,9 @@
 		for k, v := range test.header {
 			r.Header[k] = v
 		}
-		q, err := caller.ParseRequest(r, arrival)
-		if test.valid && (err != nil || q.Service != "desk") {
-			t.Errorf("%s: got %+v, %v; want service desk", test.name, q, err)
+		p, err := caller.ParseRequest(r, arrival)
+		if test.valid && (err != nil || p.Service != "desk") {
+			t.Errorf("%s: got %+v, %v; want service desk", test.name, p, err)
 		}
 		if !test.valid && !errors.Is(err, errors.NotValid) {
 			t.Errorf("%s: got %v, want a NotValid error", test.name, err)
@@ -53,9 +53,9 @@
 func TestParseRequestDeadline(t *testing.T) {
 	r := httptest.NewRequest("GET", "http://desk/", nil)
 	r.Header.Set(caller.TimeoutHeader, "250")
-	q, err := caller.ParseRequest(r, arrival)
-	if want := arrival.Add(250 * time.Millisecond); err != nil || !q.Deadline.Equal(want) {
-		t.Errorf("got deadline %v, error %v; want deadline %v", q.Deadline, err, want)
+	p, err := caller.ParseRequest(r, arrival)
+	if want := arrival.Add(250 * time.Millisecond); err != nil || !p.Deadline.Equal(want) {
+		t.Errorf("got deadline %v, error %v; want deadline %v", p.Deadline, err, want)
 	}
 }
 
@@ -82,9 +82,9 @@
 		r.Method, r.Host = method, host
 		r.Header[caller.IdempotencyKeyHeader] = []string{key}
 		r.Header[caller.TimeoutHeader] = []string{timeout}
-		q, err := caller.ParseRequest(r, arrival)
-		if err == nil && (!q.Deadline.After(arrival) || q.Key == "") {
-			t.Errorf("accepted method %q, key %q, timeout %q with deadline %v", method, key, timeout, q.Deadline)
+		p, err := caller.ParseRequest(r, arrival)
+		if err == nil && (!p.Deadline.After(arrival) || p.Key == "") {
+			t.Errorf("accepted method %q, key %q, timeout %q with deadline %v", method, key, timeout, p.Deadline)
 		}
 	})
 }
--- a/io/fabric/bench_test.go
+++ b/io/fabric/bench_test.go
@@ -100,7 +100,7 @@
 }
 
 // BenchmarkForward measures the throughput of a Port, and of a batched relay that
-// does not decode datagrams as the upper bound.
+// does not decode datagrams as the upper limit.
 func BenchmarkForward(b *testing.B) {
 	b.Run("undecoded", func(b *testing.B) {
 		relay, sink := listen(b), listen(b)
--- a/io/fabric/decode.go
+++ b/io/fabric/decode.go
@@ -148,7 +148,7 @@
 }
 
 // Encode returns a Geneve datagram with the given inner IPv4 packet and virtual
-// network identifier (VNI). Only simulators and tests use it.
+// network identifier (VNI). Only emulators and tests use it.
 func Encode(inner []byte, network uint32) ([]byte, error) {
 	b := gopacket.NewSerializeBuffer()
 	g := &layers.Geneve{Protocol: layers.EthernetTypeIPv4, VNI: network}
--- a/io/fabric/decode_test.go
+++ b/io/fabric/decode_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Each malformed datagram must be rejected with the fault under which metrics count
+// Each malformed datagram must be refused with the fault under which metrics count
 // it.
 func TestDecodeFaults(t *testing.T) {
 	valid := func() []byte { return tcpPacket(t, func(*layers.IPv4, *layers.TCP) {}) }
--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -16,14 +16,16 @@
 // Status is the status of an instance, and its view of the instances, endpoints and
 // services.
 type Status struct {
-	Instance  carawaycart.InstanceID `json:"instance"`
-	Zone      carawaycart.ZoneID     `json:"zone"`
-	State     string                 `json:"state"`
-	Revision  carawaycart.Revision   `json:"revision"` // of the configuration or, without one, of the store; zero if none was read
-	Members   []MemberStatus         `json:"members"`
-	Endpoints []EndpointStatus       `json:"endpoints"`
-	Services  []ServiceStatus        `json:"services"`
-	Alarms    []string               `json:"alarms"` // conditions that need attention, as texts
+	Instance carawaycart.InstanceID `json:"instance"`
+	Zone     carawaycart.ZoneID     `json:"zone"`
+	State    string                 `json:"state"`
+	// Revision is that of the configuration or, without one, of the store. It is zero
+	// if none was read.
+	Revision  carawaycart.Revision `json:"revision"`
+	Members   []MemberStatus       `json:"members"`
+	Endpoints []EndpointStatus     `json:"endpoints"`
+	Services  []ServiceStatus      `json:"services"`
+	Alarms    []string             `json:"alarms"` // conditions that need attention, as texts
 }
 
 // MemberStatus is the status of one instance in the view of the instance queried.
@@ -31,7 +33,7 @@
 	ID       carawaycart.InstanceID `json:"id"`
 	Zone     carawaycart.ZoneID     `json:"zone"`
 	State    string                 `json:"state"`
-	Revision carawaycart.Revision   `json:"revision"` // of the configuration that the instance runs, zero if not known
+	Revision carawaycart.Revision   `json:"revision"` // of its configuration, zero if not known
 }
 
 // EndpointStatus is the status of one endpoint in the view of the instance
@@ -41,9 +43,12 @@
 	Service carawaycart.ServiceID    `json:"service"`
 	Zone    carawaycart.ZoneID       `json:"zone"`
 	Mark    carawaycart.EndpointMark `json:"mark,omitempty"` // empty if there is none
-	State   string                   `json:"state"`          // name of the state in which the instance queried sees the endpoint
-	Guarded bool                     `json:"guarded"`        // whether packets of its slots must pass through the keeper
-	Keeper  carawaycart.InstanceID   `json:"keeper"`         // the instance that published the status, empty if there is none
+	// State is the name of the state in which the instance queried sees the endpoint.
+	State string `json:"state"`
+	// Guarded is whether packets of the endpoint's slots must pass through the keeper.
+	Guarded bool `json:"guarded"`
+	// Keeper is the instance that published the status, empty if there is none.
+	Keeper carawaycart.InstanceID `json:"keeper"`
 }
 
 // ServiceStatus is the status of one service in the view of the instance queried.
@@ -58,14 +63,19 @@
 // instance whose configuration has no slots leaves the fields Slot, Base, Keeper,
 // Clean and Record empty.
 type FlowExplanation struct {
-	Service   carawaycart.ServiceID  `json:"service"`
-	Slot      carawaycart.SlotIndex  `json:"slot"`              // of the flow in the service's slot table
-	Revision  carawaycart.Revision   `json:"revision"`          // of the configuration or, without one, of the store
-	Base      carawaycart.EndpointID `json:"base"`              // of the slot
-	Current   carawaycart.EndpointID `json:"current"`           // of the slot or, without slots, the endpoint of the flow
-	Keeper    carawaycart.InstanceID `json:"keeper"`            // of the current endpoint
-	Clean     bool                   `json:"clean"`             // whether all packets of the slot go to its base without the keeper
-	Record    carawaycart.EndpointID `json:"record,omitempty"`  // endpoint in the flow's record, empty if there is none
+	Service carawaycart.ServiceID `json:"service"`
+	Slot    carawaycart.SlotIndex `json:"slot"` // of the flow in the service's slot table
+	// Revision is that of the configuration or, without one, of the store.
+	Revision carawaycart.Revision   `json:"revision"`
+	Base     carawaycart.EndpointID `json:"base"` // of the slot
+	// Current is the current endpoint of the slot or, without slots, the endpoint of
+	// the flow.
+	Current carawaycart.EndpointID `json:"current"`
+	Keeper  carawaycart.InstanceID `json:"keeper"` // of the current endpoint
+	// Clean is whether all packets of the slot go to its base without the keeper.
+	Clean bool `json:"clean"`
+	// Record is the endpoint in the flow's record, empty if there is none.
+	Record    carawaycart.EndpointID `json:"record,omitempty"`
 	OpenedAt  time.Time              `json:"openedAt,omitzero"` // when the flow was opened, zero if not known
 	Rule      string                 `json:"rule"`              // the rule that selects the endpoint, as a text
 	DecidedBy carawaycart.InstanceID `json:"decidedBy"`         // the instance queried
@@ -75,10 +85,12 @@
 type KeyExplanation struct {
 	Key      carawaycart.IdempotencyKey `json:"key"`
 	Keeper   carawaycart.InstanceID     `json:"keeper"`
-	Replicas []carawaycart.InstanceID   `json:"replicas"`        // instances that store copies of the claim
-	Held     bool                       `json:"held"`            // whether the instance queried has a claim with this key
-	State    string                     `json:"state,omitempty"` // of the claim, empty if Held is false
-	Entry    carawaycart.InstanceID     `json:"entry,omitempty"` // the instance that received the request, empty if Held is false
+	Replicas []carawaycart.InstanceID   `json:"replicas"` // instances that store copies of the claim
+	// Held is whether the instance queried has a claim with this key.
+	Held  bool   `json:"held"`
+	State string `json:"state,omitempty"` // of the claim, empty if Held is false
+	// Entry is the instance that received the request, empty if Held is false.
+	Entry carawaycart.InstanceID `json:"entry,omitempty"`
 }
 
 // Handler answers the queries of operators.
--- a/io/platform/changelog.go
+++ b/io/platform/changelog.go
@@ -15,10 +15,12 @@
 )
 
 const (
-	logPrefix         = "carawaycart/log/"
-	snapshotKey       = "carawaycart/snapshot"
-	snapshotInterval  = 64 // revisions between snapshots
-	maxAppendAttempts = 20 // revisions that an append tries, each already used by another change, before it fails
+	logPrefix        = "carawaycart/log/"
+	snapshotKey      = "carawaycart/snapshot"
+	snapshotInterval = 64 // revisions between snapshots
+	// maxAppendAttempts is the number of revisions that an append tries, each already
+	// used by another change, before it fails.
+	maxAppendAttempts = 20
 )
 
 // ChangeLog is the log of configuration changes in the platform's store. It is safe
--- a/message/convert_test.go
+++ b/message/convert_test.go
@@ -79,17 +79,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rejected := 0
+	refused := 0
 	mutate.Each(1, 20000, [][]byte{records}, func(data []byte) {
 		var b message.RecordBatch
 		if proto.Unmarshal(data, &b) != nil {
 			return
 		}
 		if _, _, err := message.ToRecords(&b); err != nil {
-			rejected++
+			refused++
 		}
 	})
-	if rejected == 0 {
-		t.Error("no mutated batch was rejected, so the test does not cover invalid batches")
+	if refused == 0 {
+		t.Error("no mutated batch was refused, so the test does not cover invalid batches")
 	}
 }
